--- a/include/walkthread/replication/log.hpp
+++ b/include/walkthread/replication/log.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Log entries, membership and the in-memory tail of one group's log.
+/// @brief Log entries, group membership and the in-memory tail of a group's replicated log.
 /// @since 0.1
 
 #include <cstdint>
@@ -15,12 +15,12 @@
 namespace walkthread
 {
 
-/// @brief What a log entry carries.
+/// @brief The kind of content of a log entry.
 enum class entry_kind : std::uint8_t
 {
     command = 0, ///< a state machine command
-    no_op = 1,   ///< the first entry of each leader
-    members = 2, ///< a new membership
+    no_op = 1,   ///< the first entry of each term, appended by its leader
+    members = 2, ///< a membership change
 };
 
 /// @brief One replicated log entry.
@@ -39,29 +39,29 @@
     MSGPACK_DEFINE(index, term, kind, data)
 };
 
-/// @brief A replica that receives the log but does not vote yet.
+/// @brief A non-voting replica that receives the log.
 /// @since 0.1
 struct learner
 {
     replica_id id{};
-    bool promote{};        ///< becomes a voter once it is caught up and synced
-    replica_id replaces{}; ///< voter to remove after that; node 0 for none
+    bool promote{};        ///< becomes a voter once it has caught up and its log is durable
+    replica_id replaces{}; ///< voter to remove after the promotion; node 0 for none
     friend bool operator==(const learner&, const learner&) = default;
     MSGPACK_DEFINE(id, promote, replaces)
 };
 
-/// @brief Who holds a copy of a group.
+/// @brief The voters and learners of a group.
 /// @since 0.1
 struct membership
 {
     std::vector<replica_id> voters{};
     std::vector<learner> learners{};
 
-    /// @brief Whether a replica votes here. Complexity: linear in the members.
+    /// @brief Whether a replica is a voter. Complexity: linear in the members.
     [[nodiscard]] bool is_voter(const replica_id& id) const;
-    /// @brief Whether a replica gets the log here. Complexity: linear in the members.
+    /// @brief Whether a replica is a voter or a learner. Complexity: linear in the members.
     [[nodiscard]] bool is_member(const replica_id& id) const;
-    /// @brief The smallest number of voters that is a majority.
+    /// @brief The number of voters that form a majority.
     [[nodiscard]] std::size_t quorum() const
     {
         return voters.size() / 2 + 1;
@@ -70,7 +70,7 @@
     MSGPACK_DEFINE(voters, learners)
 };
 
-/// @brief A state machine's content up to an index, with the membership there.
+/// @brief The state machine's serialized state at a log index, with the membership at that index.
 /// @since 0.1
 struct snapshot
 {
@@ -81,18 +81,18 @@
     MSGPACK_DEFINE(index, term, members, data)
 };
 
-/// @brief The entries after a snapshot.
+/// @brief The in-memory log entries that follow a snapshot.
 /// @since 0.1
 class log_tail
 {
   public:
-    /// @brief Starts after `index` of `term`, which a snapshot covers.
+    /// @brief Clears the log; the next entry follows `index` of `term`, which a snapshot covers.
     void reset(log_index index, term_id term);
     /// @brief Adds an entry; its index must be `last_index() + 1`.
     void append(log_entry entry);
-    /// @brief Drops every entry at `index` and after it.
+    /// @brief Removes all entries from `index` on.
     void truncate_from(log_index index);
-    /// @brief Drops every entry up to and with `index`. Complexity: linear in the entries dropped.
+    /// @brief Removes all entries up to and including `index`. Complexity: linear in the entries removed.
     void discard_to(log_index index);
 
     [[nodiscard]] log_index base_index() const
@@ -104,11 +104,11 @@
         return log_index{m_base_index.value() + m_entries.size()};
     }
     [[nodiscard]] term_id last_term() const;
-    /// @brief The term at `index`, or no value where the log does not hold it.
+    /// @brief The term of the entry at `index`, or no value if the log does not contain it.
     [[nodiscard]] std::optional<term_id> term_at(log_index index) const;
-    /// @brief The entry at an index that the log holds. Complexity: constant.
+    /// @brief The entry at `index`, which must be in the log. Complexity: constant.
     [[nodiscard]] const log_entry& at(log_index index) const;
-    /// @brief Entries from `first` on, at least one if there is one, at most about `max_bytes`.
+    /// @brief Entries from `first` on, limited to about `max_bytes` but at least one entry if any exists.
     [[nodiscard]] std::vector<log_entry> slice(log_index first, std::size_t max_bytes) const;
 
   private:
--- a/include/walkthread/replication/messages.hpp
+++ b/include/walkthread/replication/messages.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Messages between replicas of one group.
+/// @brief Messages exchanged by the replicas of a group.
 /// @since 0.1
 
 #include <cstdint>
@@ -13,18 +13,18 @@
 namespace walkthread
 {
 
-/// @brief Asks for a vote; with `pre` set it only asks whether one would be given.
+/// @brief Requests a vote; with `pre` set it is a pre-vote, which changes no state at the voter.
 struct vote_request
 {
     term_id term{};
     log_index last_index{};
     term_id last_term{};
     bool pre{};
-    bool transfer{}; ///< the old leader asked for this election, so a live leader is no reason to refuse
+    bool transfer{}; ///< part of a leadership transfer; granted even while the current leader is live
     MSGPACK_DEFINE(term, last_index, last_term, pre, transfer)
 };
 
-/// @brief Answers a vote_request.
+/// @brief Reply to a vote_request.
 struct vote_reply
 {
     term_id term{};
@@ -33,30 +33,32 @@
     MSGPACK_DEFINE(term, granted, pre)
 };
 
-/// @brief Entries, or none as a heartbeat.
+/// @brief Replicates log entries; without entries it is a heartbeat.
 struct append_request
 {
     term_id term{};
     log_index previous_index{};
     term_id previous_term{};
     log_index commit{};
-    std::int64_t sent_at{}; ///< the leader's own clock in microseconds; echoed, never compared elsewhere
-    std::int64_t promise{}; ///< microseconds from receipt for which the leader asks for no vote against it
+    std::int64_t sent_at{}; ///< leader's monotonic clock, microseconds; echoed by the follower, compared only
+                            ///< by the leader
+    std::int64_t promise{}; ///< requested lease in microseconds from receipt; the follower grants no vote to
+                            ///< others meanwhile
     std::vector<log_entry> entries{};
     MSGPACK_DEFINE(term, previous_index, previous_term, commit, sent_at, promise, entries)
 };
 
-/// @brief Answers an append_request after its entries are synced.
+/// @brief Reply to an append_request, sent once its entries are durable.
 struct append_reply
 {
     term_id term{};
     bool accepted{};
-    log_index match{}; ///< accepted: last index known to equal the leader's; refused: where to try next
+    log_index match{}; ///< accepted: last index known to match the leader's log; rejected: where to retry
     std::int64_t sent_at{};
     MSGPACK_DEFINE(term, accepted, match, sent_at)
 };
 
-/// @brief A snapshot for a follower that is behind the leader's log.
+/// @brief Installs a snapshot at a follower that needs entries which the leader has already compacted.
 struct snapshot_request
 {
     term_id term{};
@@ -66,7 +68,7 @@
     MSGPACK_DEFINE(term, sent_at, promise, content)
 };
 
-/// @brief Tells a caught-up follower to start an election at once.
+/// @brief Tells the target of a leadership transfer to start an election at once (TimeoutNow in Raft).
 struct election_order
 {
     term_id term{};
@@ -76,7 +78,7 @@
 using replica_message =
     std::variant<vote_request, vote_reply, append_request, append_reply, snapshot_request, election_order>;
 
-/// @brief A message with its group and both ends.
+/// @brief A message with its group, sender and recipient.
 /// @since 0.1
 struct replica_envelope
 {
--- a/include/walkthread/replication/newcomers.hpp
+++ b/include/walkthread/replication/newcomers.hpp
@@ -1,12 +1,11 @@
 #pragma once
 
 /// @file
-/// @brief What a leader does about replicas that ask to be let into their group, and about newcomers that
-/// fell silent.
+/// @brief The leader's policy for join requests of replicas and for learners that stopped replying.
 ///
-/// A request may arrive after its sender's disk was lost and another replica of the same host was let in:
-/// arrival says nothing about which of them is the newer one. A host's replica that answers is there; the
-/// other is not.
+/// A join request may be delayed until its sender's disk has been lost and another replica of the same host
+/// has joined, so the order of arrival does not tell which replica is newer. The replica that replies is
+/// taken as the live one; the other no longer exists.
 /// @since 0.3
 
 #include <functional>
@@ -18,39 +17,41 @@
 namespace walkthread
 {
 
-/// @brief Times and sizes for newcomers.
+/// @brief Limits for join requests and for learners.
 struct newcomer_settings
 {
-    std::size_t wanted_voters = 3;        ///< below that, a newcomer votes as soon as it has caught up
-    duration present = milliseconds(400); ///< heard within that time: it is there; four heartbeats
-    duration forgotten = seconds(10);     ///< a newcomer that is silent for so long is let go; above the few
-                                          ///< seconds that loading a snapshot takes on a busy small host
+    std::size_t wanted_voters = 3;        ///< with fewer voters, a joining replica is promoted once caught up
+    duration present = milliseconds(400); ///< a member with a reply within this time is live; four
+                                          ///< heartbeats
+    duration forgotten = seconds(10);     ///< a learner without replies for this long is removed; above
+                                          ///< the few seconds that loading a snapshot takes on a small
+                                          ///< host under load
 };
 
-/// @brief What is known of replicas outside the membership itself.
+/// @brief Queries about replicas that the membership does not answer.
 struct newcomer_hooks
 {
-    /// Whether two replicas have the same host.
+    /// Whether two replicas run on the same host.
     std::function<bool(const replica_id&, const replica_id&)> same_host;
-    /// When a member last answered; no value where unknown.
+    /// Time of the last reply of a member; no value if unknown.
     std::function<std::optional<monotonic_time>(const replica_id&)> last_heard;
 };
 
-/// @brief What to do about a request; nothing if no field is set.
+/// @brief The action for a join request; none if no field is set.
 struct newcomer_decision
 {
     std::optional<learner> add;
-    std::optional<replica_id> remove;  ///< an earlier newcomer of the same host, whose disk is gone
-    std::optional<replica_id> present; ///< another replica of the same host answers: the request came late
+    std::optional<replica_id> remove;  ///< an earlier learner of the same host, whose disk is lost
+    std::optional<replica_id> present; ///< another live replica of the same host: the request is outdated
 };
 
-/// @brief Decides about a replica that asks to be let in. Complexity: linear in the members.
+/// @brief Decides on a join request. Complexity: linear in the members.
 [[nodiscard]] newcomer_decision judge_newcomer(const membership& members, const replica_id& asks,
                                                const newcomer_settings& settings, const newcomer_hooks& hooks,
                                                monotonic_time now);
 
-/// @brief A newcomer that is silent for so long that others may take its place; no value for none. It may ask
-/// again.
+/// @brief A learner that has sent no reply for longer than the learner timeout and is to be removed; no value
+/// if there is none. The removed replica may request to join again.
 [[nodiscard]] std::optional<replica_id> find_forgotten(const membership& members,
                                                        const newcomer_settings& settings,
                                                        const newcomer_hooks& hooks, monotonic_time now);
--- a/include/walkthread/replication/replica.hpp
+++ b/include/walkthread/replication/replica.hpp
@@ -1,11 +1,12 @@
 #pragma once
 
 /// @file
-/// @brief One replica of one group: leader election, log replication, snapshots and membership.
+/// @brief One replica of one group (Raft with leader leases): elections, log replication, snapshots and
+/// membership.
 ///
-/// The object is pure. It takes messages, proposals and ticks together with the present time, and leaves what
-/// is to be done in a `replica_output`: records to sync, messages to send after the sync, and entries to
-/// apply.
+/// The class does no I/O and reads no clock. It takes messages, proposals and ticks together with the current
+/// time and returns the resulting work as a `replica_output`: records to make durable, messages to send after
+/// that, and entries to apply.
 /// @since 0.1
 
 #include <cstdint>
@@ -28,47 +29,48 @@
     not_leader = 301,     ///< this replica does not lead the group
     change_pending = 302, ///< another membership change is not committed yet
     unknown_member = 303, ///< the named replica is not a member
-    overloaded = 304,     ///< too many entries wait for a quorum
+    overloaded = 304,     ///< too many uncommitted entries
 };
 using replication_error = layer_error<replication_code>;
 
-/// @brief What a replica must find again after a restart.
+/// @brief The state that must survive a restart, apart from the log.
 /// @since 0.1
 struct hard_state
 {
     term_id term{};
     replica_id vote{};
-    std::int64_t promise{}; ///< microseconds: the longest it may have promised its leader not to vote
-    replica_id leader{};    ///< whom it promised that last; its own id if it led
+    std::int64_t promise{}; ///< microseconds: upper bound of the leases granted to a leader
+    replica_id leader{};    ///< the last leader that was granted a lease; its own id if it led
     friend bool operator==(const hard_state&, const hard_state&) = default;
     MSGPACK_DEFINE(term, vote, promise, leader)
 };
 
-/// @brief Timing and bounds of a replica.
+/// @brief Timeouts and limits of a replica.
 /// @since 0.1
 struct replica_settings
 {
-    duration heartbeat = milliseconds(150);         ///< leader to follower
-    duration election_timeout = milliseconds(1000); ///< silence of a leader before an election, at least; as
-                                                    ///< long is its lease
-    duration election_most = milliseconds(1000);    ///< the same at most, where a quorum answers slowly
-    duration election_step = milliseconds(30); ///< between the attempts of two replicas: a question for votes
-                                               ///< and its answers inside a region
-    duration vote_patience = milliseconds(1000); ///< after a vote: two syncs of a disk that is 30 times slow
-    double clock_drift = 0.05;                   ///< largest relative difference of two clocks' speeds
-    std::size_t append_bytes = 256U << 10U;      ///< about the largest append_request
-    std::size_t max_uncommitted = 100'000;       ///< entries waiting for a quorum
-    std::uint64_t snapshot_every = 4096;         ///< applied entries between snapshots
-    std::uint64_t keep_entries = 1024;           ///< entries kept behind a snapshot for slow followers
+    duration heartbeat = milliseconds(150);         ///< interval from leader to follower
+    duration election_timeout = milliseconds(1000); ///< shortest time without leader contact before an
+                                                    ///< election; also the initial lease duration
+    duration election_most = milliseconds(1000);    ///< upper bound when a quorum replies slowly
+    duration election_step = milliseconds(30); ///< delay between the campaigns of two replicas: one round of
+                                               ///< vote requests and replies inside a region
+    duration vote_patience = milliseconds(1000); ///< election timeout after a vote; covers two fsyncs on a
+                                                 ///< disk that is 30 times slower than usual
+    double clock_drift = 0.05;              ///< largest relative difference between the rates of two clocks
+    std::size_t append_bytes = 256U << 10U; ///< approximate size limit of an append_request
+    std::size_t max_uncommitted = 100'000;  ///< limit on entries that wait for a quorum
+    std::uint64_t snapshot_every = 4096;    ///< applied entries between snapshots
+    std::uint64_t keep_entries = 1024;      ///< entries kept in memory before a snapshot for slow followers
 };
 
-/// @brief What the owner has to do, in this order: sync, send, apply.
+/// @brief Work for the owner, in this order: make durable, send, apply.
 /// @since 0.1
 struct replica_output
 {
     std::optional<hard_state> state;
     std::optional<snapshot> install; ///< replaces the state machine's content
-    std::vector<log_entry> append;   ///< an entry replaces those stored at its index and after it
+    std::vector<log_entry> append;   ///< an entry replaces all stored entries from its index on
     std::vector<replica_envelope> messages;
     std::vector<log_entry> apply;
 
@@ -78,16 +80,17 @@
     }
 };
 
-/// @brief What a replica starts from: nothing, or what the data folder holds.
+/// @brief The initial state of a replica: empty, or recovered from the data folder.
 /// @since 0.1
 struct replica_start
 {
     hard_state state{};
-    snapshot base{}; ///< index 0 for none; `members` then is the first membership, or empty for a newcomer
+    snapshot base{}; ///< index 0 for none; `members` is then the initial membership, or empty for a replica
+                     ///< that has yet to join
     std::vector<log_entry> entries{};
 };
 
-/// @brief The part of a replica in its group.
+/// @brief The role of a replica in its group.
 enum class replica_role : std::uint8_t
 {
     follower,
@@ -104,41 +107,42 @@
     replica(group_id group, replica_id self, replica_settings settings, replica_start start,
             std::uint64_t seed, monotonic_time now);
 
-    /// @brief Handles a message from another replica. Unknown or foreign senders are ignored.
+    /// @brief Handles a message from another replica. Messages for another replica or group are ignored.
     void receive(const replica_envelope& envelope, monotonic_time now);
-    /// @brief Lets time pass: elections, heartbeats, quorum check, promotions. Complexity: linear in members.
+    /// @brief Runs the timers: elections, heartbeats, quorum check, promotions. Complexity: linear in
+    /// members.
     void tick(monotonic_time now);
     /// @brief Adds a command to the log.
     /// @return the entry's index, or replication_code::not_leader or overloaded
     [[nodiscard]] result<log_index, replication_error> propose(std::string data, monotonic_time now);
-    /// @brief Adds a replica that does not vote until it is caught up; for a learner, changes what becomes of
-    /// it.
-    /// @param newcomer the learner; with `replaces` set, that voter is removed after the promotion
-    /// @return or replication_code::not_leader, change_pending
+    /// @brief Adds a non-voting replica; for an existing learner, updates `promote` and `replaces`.
+    /// @param new_learner the learner; with `replaces` set, that voter is removed after the promotion
+    /// @return success, or replication_code::not_leader, change_pending
     [[nodiscard]] result<done, replication_error> add_learner(learner newcomer, monotonic_time now);
     /// @brief Removes a member.
-    /// @return or replication_code::not_leader, change_pending, unknown_member
+    /// @return success, or replication_code::not_leader, change_pending, unknown_member
     [[nodiscard]] result<done, replication_error> remove_member(const replica_id& member, monotonic_time now);
-    /// @brief Hands leadership to the most caught-up voter, if this replica leads.
+    /// @brief Transfers leadership to the most up-to-date other voter, if this replica leads.
     void hand_over(monotonic_time now);
-    /// @brief From now on stands in no election, as its process is being stopped or its disk takes nothing;
-    /// or stands again. It still votes.
+    /// @brief Sets whether this replica refrains from campaigning, because its process is shutting down or
+    /// its disk rejects writes. It still votes.
     void decline_leadership(bool declines = true)
     {
         m_declines = declines;
     }
 
-    /// @brief Takes what is to be done. The owner syncs, sends, applies, then calls `synced`.
+    /// @brief Returns the pending work. The owner makes it durable, sends, applies, then calls `synced`.
     [[nodiscard]] replica_output take_output(monotonic_time now);
-    /// @brief Takes what may be done while a sync of earlier output is under way: entries to apply and a
-    /// leader's appends. Records and replies stay for the next `take_output`.
+    /// @brief Returns the work that does not depend on an fsync in progress: entries to apply and a leader's
+    /// append requests. Records and replies remain for the next `take_output`.
     [[nodiscard]] replica_output take_unsynced(monotonic_time now);
-    /// @brief Tells that everything taken so far is synced; a leader counts its own copy from then on.
+    /// @brief Reports that all output taken so far is durable; a leader then counts its own copy for the
+    /// quorum.
     void synced(monotonic_time now);
-    /// @brief Gives the state machine's content at `index`, after which the log can be cut.
+    /// @brief Compacts the log, given the state machine's serialized state at `index`.
     /// @return the snapshot to store
     [[nodiscard]] snapshot compact(log_index index, std::string data);
-    /// @brief Whether enough entries are applied since the last snapshot.
+    /// @brief Whether enough entries have been applied since the last snapshot to take another one.
     [[nodiscard]] bool wants_snapshot() const;
 
     [[nodiscard]] replica_role role() const
@@ -149,7 +153,7 @@
     {
         return m_state.term;
     }
-    /// @brief Term and vote, as they have to survive a restart.
+    /// @brief The state that must survive a restart.
     [[nodiscard]] const hard_state& present_state() const
     {
         return m_state;
@@ -158,12 +162,12 @@
     {
         return m_self;
     }
-    /// @brief The leader as far as known; node 0 for unknown.
+    /// @brief The known leader; node 0 if unknown.
     [[nodiscard]] replica_id leader() const
     {
         return m_leader;
     }
-    /// @brief Where the present term began, as its leader.
+    /// @brief Index of the first entry of the current term; valid on the leader.
     [[nodiscard]] log_index term_start() const
     {
         return m_term_start;
@@ -184,18 +188,18 @@
     {
         return m_log;
     }
-    /// @brief Whether this replica surely is the only leader at `now` and has given out to be applied all
-    /// that came before it; `replicated_group::leads` tells whether that is done. Rests on clocks whose
-    /// speeds differ by at most `clock_drift`, not on their values.
+    /// @brief Whether this replica holds a valid leader lease at `now` and has output all entries of earlier
+    /// terms for application; `replicated_group::leads` also checks that they have been applied. The lease
+    /// relies on clock rates that differ by at most `clock_drift`, not on synchronized clocks.
     [[nodiscard]] bool holds_lease(monotonic_time now) const;
-    /// @brief When a follower last heard its leader.
+    /// @brief Time of a follower's last contact with its leader.
     [[nodiscard]] monotonic_time last_leader_contact() const
     {
         return m_last_leader_contact;
     }
-    /// @brief When a leader last heard a member; no value where unknown.
+    /// @brief Time of a member's last reply to this leader; no value if unknown.
     [[nodiscard]] std::optional<monotonic_time> last_heard(const replica_id& member) const;
-    /// @brief Entries that a member is behind; no value where unknown.
+    /// @brief Number of entries that a member lags behind; no value if unknown.
     [[nodiscard]] std::optional<std::uint64_t> lag_of(const replica_id& member) const;
 
   private:
@@ -209,7 +213,7 @@
         bool snapshot_in_flight{};
         monotonic_time snapshot_sent{};
         bool in_flight{};
-        log_index in_flight_to{}; ///< the last entry of those in flight
+        log_index in_flight_to{}; ///< index of the last entry in flight
         monotonic_time in_flight_since{};
         std::size_t in_flight_bytes{};
     };
@@ -272,16 +276,17 @@
     replica_id m_leader{};
     log_index m_term_start{};
     monotonic_time m_last_leader_contact{};
-    duration m_promise{}; ///< a follower: no vote for that long after its leader's last message; a
-                          ///< leader: what it asks for
-    /// A promise that this leader asks for.
+    duration m_promise{}; ///< follower: lease granted to its leader from the last message on; leader:
+                          ///< lease that it requests
+    /// A lease duration that this leader has requested since a point in time.
     struct asked_promise
     {
         monotonic_time since{};
         duration promise{};
     };
-    std::vector<asked_promise> m_asked; ///< in this term, oldest first; they only grow, four at most
-    term_id m_promise_term{};           ///< a follower: the term whose leader has the promise
+    std::vector<asked_promise> m_asked; ///< of this term, oldest first; durations only increase, at most
+                                        ///< four entries
+    term_id m_promise_term{};           ///< follower: term of the leader that was granted the lease
     monotonic_time m_election_at{};
     monotonic_time m_leader_since{};
     bool m_transferring = false;
--- a/include/walkthread/replication/replicated_group.hpp
+++ b/include/walkthread/replication/replicated_group.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief One group at one process: the replica, its state machine, and proposals that wait for their result.
+/// @brief One group in one process: the replica, its state machine, and proposals that wait for their result.
 /// @since 0.1
 
 #include <functional>
@@ -14,7 +14,7 @@
 namespace walkthread
 {
 
-/// @brief What a command in the log carries: the leader's wall time and the encoded command.
+/// @brief Body of a command entry: the leader's wall time and the encoded command.
 /// @since 0.1
 struct entry_body
 {
@@ -23,31 +23,32 @@
     MSGPACK_DEFINE(at, command)
 };
 
-/// @brief How a group meets its state machine.
+/// @brief Callbacks that connect a group to its state machine.
 /// @since 0.1
 struct state_hooks
 {
-    /// Applies a command and gives the encoded result.
+    /// Applies a command and returns the encoded result.
     std::function<std::string(wall_ms, const std::string&)> apply;
     std::function<std::string()> save;
     std::function<bool(const std::string&)> load;
 };
 
-/// @brief One group at one process. Belongs to the core thread.
+/// @brief One group in one process. Used by the core thread only.
 /// @since 0.1
 class replicated_group
 {
   public:
-    /// @brief Takes the encoded result, or no value if the entry was not committed.
+    /// @brief Receives the encoded result, or no value if the entry was not committed.
     using result_handler = std::function<void(std::optional<std::string>)>;
 
     replicated_group(group_id id, replica core, state_hooks hooks);
 
-    /// @brief Proposes a command; the handler is called once its fate is known, or at once if not the leader.
+    /// @brief Proposes a command; the handler is called when the entry is applied or discarded, or
+    /// immediately if this replica is not the leader.
     void propose(wall_ms at, std::string command, result_handler handler, monotonic_time now);
-    /// @brief Applies what was committed. @return number of commands applied
+    /// @brief Applies committed entries. @return number of entries applied
     std::size_t apply(const replica_output& output);
-    /// @brief Cuts the log if it is long. @return the snapshot to store, if one was made
+    /// @brief Takes a snapshot and compacts the log if that is due. @return the snapshot to store, if any
     [[nodiscard]] std::optional<snapshot> compact_if_due();
 
     [[nodiscard]] replica& core()
@@ -62,8 +63,8 @@
     {
         return m_id;
     }
-    /// @brief Whether this process surely is the only leader at `now`, and its state has all that earlier
-    /// leaders committed: a leader that reads its state before would order the end of what they had begun.
+    /// @brief Whether this process holds the leader lease at `now` and has applied all entries that earlier
+    /// leaders committed. A leader that acted on older state would stop runs that they had started.
     [[nodiscard]] bool leads(monotonic_time now) const
     {
         return m_core.holds_lease(now) && m_applied >= m_core.term_start();
@@ -72,7 +73,7 @@
     {
         return m_applied;
     }
-    /// @brief What a new log file has to hold of this group.
+    /// @brief The state of this group that a rewritten log file must contain.
     [[nodiscard]] replica_start live_part() const;
 
   private:
--- a/include/walkthread/state/claims.hpp
+++ b/include/walkthread/state/claims.hpp
@@ -1,7 +1,8 @@
 #pragma once
 
 /// @file
-/// @brief Claims of not-repeatable requests: who may send one, and how it ended.
+/// @brief Claims on the idempotency keys of non-repeatable requests: which attempt may send a request, and
+/// its outcome.
 /// @since 0.1
 
 #include <cstdint>
@@ -16,28 +17,28 @@
 namespace walkthread
 {
 
-/// @brief How far a claimed request has come.
+/// @brief State of a claim.
 enum class claim_phase : std::uint8_t
 {
-    held = 0,      ///< its holder may send it, or has; nobody else may
-    completed = 1, ///< answered; the answer is kept
-    unknown = 2,   ///< sent, and no whole answer came; it never runs again
-    released = 3,  ///< given up by its holder before a byte was sent; it may be claimed again
+    held = 0,      ///< only the holder may send the request, and may have done so
+    completed = 1, ///< a response arrived and is stored
+    unknown = 2,   ///< sent, but no complete response arrived; never sent again
+    released = 3,  ///< released by its holder before any byte was sent; may be claimed again
 };
 
-/// @brief Asks for the right to send a request.
+/// @brief Claims the right to send a request.
 struct claim_request
 {
     organisation_id organisation{};
     std::string key{};
-    std::uint64_t digest{}; ///< of service and body
+    std::uint64_t digest{}; ///< digest of the service and the body
     attempt_id attempt{};
-    wall_ms key_time{}; ///< from the key itself
+    wall_ms key_time{}; ///< creation time encoded in the key
     wall_ms window{};
     MSGPACK_DEFINE(organisation, key, digest, attempt, key_time, window)
 };
 
-/// @brief Tells how a claimed request ended. Only its holder may.
+/// @brief Records the outcome of a claimed request. Accepted from its holder only.
 struct settle_claim
 {
     organisation_id organisation{};
@@ -47,15 +48,15 @@
     std::uint16_t status{};
     std::string body{};
     std::uint64_t
-        digest{}; ///< digest and key_time as in the claim, for a claim that arrives after its release
+        digest{}; ///< digest and key_time of the claim, for a claim that arrives after its own release
     wall_ms key_time{};
     MSGPACK_DEFINE(organisation, key, attempt, phase, status, body, digest, key_time)
 };
 
-/// @brief What a claim command did, with the kept answer where there is one.
+/// @brief Result of a claim command, with the stored response if there is one.
 struct claim_result
 {
-    int code{}; ///< a state_code; 0 when the claim is granted or settled
+    int code{}; ///< a state_code; 0 if the claim was granted or settled
     std::uint8_t phase{};
     std::uint16_t status{};
     std::string body{};
@@ -67,18 +68,18 @@
 class claim_table
 {
   public:
-    /// @brief How far a key's time may lie ahead of the leader's wall time.
+    /// @brief How far a key's creation time may lie ahead of the leader's wall time, in milliseconds.
     static constexpr wall_ms max_ahead = 60'000;
-    /// @brief A claim held for longer counts as unknown: its holder is gone, or will still settle it.
+    /// @brief Milliseconds after which a held claim is reported as unknown; its holder may have crashed, or
+    /// may still settle it.
     static constexpr wall_ms longest_in_progress = 60'000;
 
-    /// @brief Grants a key once. Complexity: logarithmic in the claims, amortised.
-    /// @return code 0 and phase held when granted; code 0 and phase completed with the kept answer; or
-    /// claim_held,
-    ///         outcome_unknown, key_body_differs, key_expired, key_from_future
+    /// @brief Grants a key to one attempt. Complexity: logarithmic in the claims, amortised.
+    /// @return code 0 and phase held if granted; code 0 and phase completed with the stored response; or
+    ///         claim_held, outcome_unknown, key_body_differs, key_expired, key_from_future, not_claim_holder
     claim_result claim(wall_ms at, const claim_request& request);
-    /// @brief Settles a claim that is held. Told twice, it counts once. A release may come before its claim,
-    /// when that was delayed; the claim then finds itself given up already.
+    /// @brief Settles a claim that is held; idempotent. A release may arrive before a delayed claim of the
+    /// same attempt, which is then refused.
     /// @return code 0, or not_claim_holder
     claim_result settle(const settle_claim& request);
     [[nodiscard]] std::size_t size() const
@@ -104,7 +105,7 @@
 
     std::map<claim_key, record> m_claims;
     std::multimap<wall_ms, claim_key> m_by_time;
-    wall_ms m_floor = 0; ///< keys not newer than this are refused when they are not in the table
+    wall_ms m_floor = 0; ///< unknown keys with this creation time or an earlier one are refused as expired
 
   public:
     MSGPACK_DEFINE(m_claims, m_by_time, m_floor)
--- a/include/walkthread/state/estimate.hpp
+++ b/include/walkthread/state/estimate.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Run times learned per template, since declared ones are far off.
+/// @brief Run time estimates learned per template, because declared run times are inaccurate.
 /// @since 0.1
 
 #include <cstdint>
@@ -11,24 +11,24 @@
 namespace walkthread
 {
 
-/// @brief Learns how much longer or shorter than declared a template's tasks run.
+/// @brief Learns the ratio of observed to declared run time of a template's tasks.
 ///
-/// It keeps a running mean and mean deviation of the ratio observed/declared. The estimate is the mean plus
-/// `safety_margin` deviations, so that backfilled work ends in time more often than not.
+/// Keeps exponentially weighted averages of the ratio and of its absolute deviation. The estimate is the mean
+/// plus `deviation_factor` deviations, so that most backfilled tasks end in time.
 /// @since 0.1
 class run_estimate
 {
   public:
-    /// @brief Mean deviations added to the mean.
+    /// @brief Number of mean deviations added to the mean ratio.
     static constexpr double safety_margin = 2.0;
-    /// @brief Weight of the newest observation.
+    /// @brief Smallest weight of a new observation.
     static constexpr double learning_rate = 0.1;
 
-    /// @brief Takes one finished run. Complexity: constant.
+    /// @brief Records the run time of a completed run. Complexity: constant.
     void learn(std::int64_t declared_seconds, std::int64_t observed_ms);
-    /// @brief The run time to plan with, in milliseconds; the declared one until something was learned.
+    /// @brief The estimated run time in milliseconds; the declared one until a run has been observed.
     [[nodiscard]] std::int64_t predict_ms(std::int64_t declared_seconds) const;
-    /// @brief Runs seen so far.
+    /// @brief Number of runs observed.
     [[nodiscard]] std::uint64_t count() const
     {
         return m_count;
--- a/include/walkthread/state/hall.hpp
+++ b/include/walkthread/state/hall.hpp
@@ -3,8 +3,8 @@
 /// @file
 /// @brief The state machine of one hall: workers, jobs, tasks, reservations and claims.
 ///
-/// Applying an entry checks it against the state, so that a plan made by a stale leader has no effect: no
-/// host is over its size and no task is in two places, whoever proposed.
+/// Each command is validated against the state when it is applied, so that a plan of a stale leader has no
+/// effect: no host is overcommitted and no task runs twice, whoever proposed the command.
 /// @since 0.1
 
 #include <cstdint>
@@ -26,23 +26,23 @@
 // Records
 // ---------------------------------------------------------------------------------------------------------
 
-/// @brief Whether a worker gets work.
+/// @brief State of a worker; decides whether tasks are placed on it.
 enum class worker_phase : std::uint8_t
 {
     live = 0,
-    draining = 1,    ///< leaving: keeps what it runs until it is moved or ends, gets nothing new
-    quarantined = 2, ///< failed tasks of several jobs; gets nothing until probed
-    probing = 3,     ///< gets one task, to see whether it works again
-    lost = 4,        ///< its lease ran out
+    draining = 1,    ///< keeps its tasks until they are moved or end; gets no new ones
+    quarantined = 2, ///< tasks of several jobs failed there; gets no tasks until probed
+    probing = 3,     ///< gets a single task, to test whether it works again
+    lost = 4,        ///< its lease expired
 };
 
-/// @brief Where a task is in its life.
+/// @brief Life cycle of a task.
 enum class task_phase : std::uint8_t
 {
-    pending = 0,  ///< waits for a host
-    placed = 1,   ///< reserved on a host; its start is not confirmed
+    pending = 0,  ///< waits for placement
+    placed = 1,   ///< resources reserved on a host; start not confirmed yet
     running = 2,  ///< the worker confirmed the start
-    stopping = 3, ///< to be stopped; the host stays reserved until the worker confirms
+    stopping = 3, ///< stop requested; resources stay reserved until the worker confirms
     ended = 4,
 };
 
@@ -51,24 +51,24 @@
 {
     none = 0,
     cancelled = 1, ///< its job was cancelled
-    preempted = 2, ///< for urgent work
-    drained = 3,   ///< its host is leaving
+    preempted = 2, ///< in favour of urgent work
+    drained = 3,   ///< its host is being drained
     gang = 4,      ///< another task of its gang was lost
-    overused = 5,  ///< it used more than it declared for too long
+    overused = 5,  ///< it exceeded its declared resources for too long
 };
 
-/// @brief A task and its present run.
+/// @brief A task and its current run.
 /// @since 0.1
 struct task_record
 {
     std::uint8_t phase{};
     std::uint8_t reason{};
-    std::uint32_t run{}; ///< number of the present or last run; 0 before the first
+    std::uint32_t run{}; ///< number of the current or last run; 0 before the first
     worker_id worker{};
-    std::uint16_t port{};  ///< where a service's task answers
-    bool checkpointed{};   ///< the next run goes on from a checkpoint
-    bool preempted_once{}; ///< for fairness among victims
-    wall_ms since{};       ///< start of the present phase
+    std::uint16_t port{};  ///< port on which a service's task accepts requests
+    bool checkpointed{};   ///< the next run resumes from a checkpoint
+    bool preempted_once{}; ///< used to choose preemption victims fairly
+    wall_ms since{};       ///< start of the current phase
     MSGPACK_DEFINE(phase, reason, run, worker, port, checkpointed, preempted_once, since)
 
     [[nodiscard]] task_phase state() const
@@ -82,7 +82,7 @@
     }
 };
 
-/// @brief A job as one hall runs it.
+/// @brief The part of a job that one hall runs.
 /// @since 0.1
 struct hall_job
 {
@@ -94,8 +94,8 @@
     bool cancelled{};
     std::uint8_t outcome{};
     std::set<worker_id> failed_on{};
-    std::uint32_t failures{}; ///< on hosts that are not quarantined
-    wall_ms first_start{};    ///< 0 until the first task was confirmed running
+    std::uint32_t failures{}; ///< failures on hosts that are not quarantined
+    wall_ms first_start{};    ///< time of the first confirmed start; 0 before
     MSGPACK_DEFINE(spec, tasks, pending, on_hosts, ended, cancelled, outcome, failed_on, failures,
                    first_start)
 
@@ -103,13 +103,13 @@
     {
         return ended == tasks.size();
     }
-    /// @brief Whether a task may run again after a run whose effect is not known. Complexity: constant.
+    /// @brief Whether a task may be rerun after a run with unknown outcome. Complexity: constant.
     /// @since 0.6
     [[nodiscard]] bool may_run_again() const
     {
         return spec.repeatable || spec.workload() == workload_kind::service;
     }
-    /// @brief Whether it failed on so many hosts that it gets no more of them.
+    /// @brief Whether the job failed so often that it is not placed any more.
     [[nodiscard]] bool held() const;
 };
 
@@ -119,7 +119,7 @@
 {
     worker_id id{};
     rack_id rack{};
-    std::string address{}; ///< IP number
+    std::string address{}; ///< IP address
     std::uint16_t port{};
     resources size{};
     resources reserved{};
@@ -127,7 +127,7 @@
     std::uint8_t phase{};
     bool draining{};
     std::vector<task_id> tasks{};
-    std::set<job_id> failed_jobs{}; ///< distinct jobs that failed here since the last success
+    std::set<job_id> failed_jobs{}; ///< distinct jobs that failed on this worker since its last success
     std::uint32_t quarantines{};
     wall_ms phase_since{};
     MSGPACK_DEFINE(id, rack, address, port, size, reserved, epoch, phase, draining, tasks, failed_jobs,
@@ -137,7 +137,7 @@
     {
         return static_cast<worker_phase>(phase);
     }
-    /// @brief What may still be placed here; nothing when the worker gets no work.
+    /// @brief Resources available for placement; none if the worker accepts no tasks.
     [[nodiscard]] resources free() const;
 };
 
@@ -145,8 +145,8 @@
 // Commands
 // ---------------------------------------------------------------------------------------------------------
 
-/// @brief A worker announces itself, and that nothing runs there from the epoch `previous` or an earlier one.
-/// A copy that was delayed on its way names an older epoch, and must free nothing.
+/// @brief Registers a worker, and states that no run of the epoch `previous` or an earlier one is left there.
+/// A delayed duplicate names an older epoch and must not release any reservation.
 struct register_worker
 {
     worker_id worker{};
@@ -154,12 +154,12 @@
     std::string address{};
     std::uint16_t port{};
     resources size{};
-    epoch_id previous{};          ///< the worker's last epoch; 0 if it does not know
-    std::vector<run_id> untold{}; ///< runs placed there which nobody told it to start: they never began
+    epoch_id previous{};          ///< the worker's last epoch; 0 if unknown
+    std::vector<run_id> untold{}; ///< runs placed there whose start order was never sent: they never began
     MSGPACK_DEFINE(worker, rack, address, port, size, previous, untold)
 };
 
-/// @brief A worker under one epoch.
+/// @brief A worker and one of its lease epochs.
 struct worker_epoch
 {
     worker_id worker{};
@@ -167,11 +167,11 @@
     MSGPACK_DEFINE(worker, epoch)
 };
 
-/// @brief Workers whose lease has surely run out.
+/// @brief Marks workers as lost whose lease has certainly expired.
 struct lose_workers
 {
     std::vector<worker_epoch> workers{};
-    std::vector<run_id> untold{}; ///< runs placed there which nobody told them to start: they never began
+    std::vector<run_id> untold{}; ///< runs placed there whose start order was never sent: they never began
     MSGPACK_DEFINE(workers, untold)
 };
 
@@ -183,17 +183,17 @@
     MSGPACK_DEFINE(workers, draining)
 };
 
-/// @brief Lets quarantined workers try one task.
+/// @brief Starts probing quarantined workers with a single task.
 struct probe_workers
 {
     std::vector<worker_id> workers{};
     MSGPACK_DEFINE(workers)
 };
 
-/// @brief Takes jobs from root.
+/// @brief Admits jobs from root.
 struct admit_jobs
 {
-    log_index root_index{}; ///< root's log position at which the jobs were seen
+    log_index root_index{}; ///< position in root's log at which the jobs were read
     std::vector<job_spec> jobs{};
     MSGPACK_DEFINE(root_index, jobs)
 };
@@ -205,7 +205,7 @@
     MSGPACK_DEFINE(jobs)
 };
 
-/// @brief Drops jobs that root knows to have ended.
+/// @brief Removes jobs whose end root has recorded.
 struct forget_jobs
 {
     log_index root_index{};
@@ -213,7 +213,7 @@
     MSGPACK_DEFINE(root_index, jobs)
 };
 
-/// @brief One task on one host.
+/// @brief Placement of one run on one worker.
 struct placement
 {
     run_id run{};
@@ -222,25 +222,25 @@
     MSGPACK_DEFINE(run, worker, epoch)
 };
 
-/// @brief Places tasks. A gang's tasks stand together and take effect together or not at all.
+/// @brief Places tasks. The tasks of a gang are adjacent in the list and are placed all or none.
 struct place_tasks
 {
     std::vector<placement> placements{};
     MSGPACK_DEFINE(placements)
 };
 
-/// @brief What a worker says of a run.
+/// @brief An event of a run, as reported by its worker.
 enum class run_event : std::uint8_t
 {
     started = 0,
     completed = 1,
     failed = 2,
-    stopped = 3,      ///< stopped as asked, without a checkpoint
-    checkpointed = 4, ///< stopped as asked, with a checkpoint
-    accepted = 5,     ///< taken by the worker, not started yet; changes nothing
+    stopped = 3,      ///< stopped on request, without a checkpoint
+    checkpointed = 4, ///< stopped on request, with a checkpoint
+    accepted = 5,     ///< accepted by the worker but not started yet; no effect on the state
 };
 
-/// @brief A worker's word on one run.
+/// @brief A worker's report on one run.
 struct run_report
 {
     run_id run{};
@@ -250,14 +250,14 @@
     MSGPACK_DEFINE(run, from, event, port)
 };
 
-/// @brief Words of workers, batched.
+/// @brief A batch of run reports.
 struct report_runs
 {
     std::vector<run_report> reports{};
     MSGPACK_DEFINE(reports)
 };
 
-/// @brief One run to stop.
+/// @brief A request to stop one run.
 struct stop_order
 {
     run_id run{};
@@ -265,7 +265,7 @@
     MSGPACK_DEFINE(run, reason)
 };
 
-/// @brief Runs to stop, batched.
+/// @brief A batch of stop requests.
 struct stop_runs
 {
     std::vector<stop_order> orders{};
@@ -276,25 +276,25 @@
     std::variant<register_worker, lose_workers, drain_workers, probe_workers, admit_jobs, cancel_hall_jobs,
                  forget_jobs, place_tasks, report_runs, stop_runs, claim_request, settle_claim>;
 
-/// @brief What a hall command did.
+/// @brief Result of a hall command.
 /// @since 0.1
 struct hall_result
 {
-    int code{};              ///< a state_code; 0 when it took effect
-    epoch_id epoch{};        ///< of register_worker
-    std::uint32_t applied{}; ///< placements that took effect
+    int code{};              ///< a state_code; 0 if the command took effect
+    epoch_id epoch{};        ///< new epoch, for register_worker
+    std::uint32_t applied{}; ///< number of placements that took effect
     claim_result claim{};
     MSGPACK_DEFINE(code, epoch, applied, claim)
 };
 
-/// @brief What changed since the owner last looked; kept by the state so that nothing scans it.
+/// @brief Changes since the last call of `take_changes`, recorded so that the owner need not scan the state.
 /// @since 0.1
 struct hall_changes
 {
     std::vector<worker_id> workers{};
     std::vector<job_id> jobs{};
     std::vector<job_id> ended{};
-    std::uint64_t services{}; ///< grows with each change of a service's endpoints
+    std::uint64_t services{}; ///< counter, incremented on each change that may affect service endpoints
 };
 
 // ---------------------------------------------------------------------------------------------------------
@@ -306,11 +306,11 @@
 class hall_state
 {
   public:
-    /// @brief Distinct jobs failing in a row on one host before it is quarantined.
+    /// @brief Distinct jobs that fail on a host without a success in between before it is quarantined.
     static constexpr std::size_t quarantine_after = 3;
-    /// @brief Distinct hosts on which a job may fail before it is held.
+    /// @brief Distinct hosts on which a job fails before it is held.
     static constexpr std::size_t hold_after = 3;
-    /// @brief Failures after which a job is held where there are too few hosts for that.
+    /// @brief Failures after which a job is held when there are too few hosts to reach that number.
     static constexpr std::uint32_t hold_after_failures = 12;
 
     hall_state() = default;
@@ -333,18 +333,18 @@
     {
         return m_jobs;
     }
-    /// @brief Sizes of all workers that have a lease, draining ones included.
+    /// @brief Total size of all workers with a lease, including draining ones.
     [[nodiscard]] const resources& capacity() const
     {
         return m_capacity;
     }
-    /// @brief What an organisation has reserved. Complexity: logarithmic.
+    /// @brief Resources reserved by an organisation. Complexity: logarithmic.
     [[nodiscard]] resources used_by(organisation_id organisation) const;
-    /// @brief What a team has reserved. Complexity: logarithmic.
+    /// @brief Resources reserved by a team. Complexity: logarithmic.
     [[nodiscard]] resources used_by(team_id team) const;
-    /// @brief The learned run time of a template. Complexity: logarithmic.
+    /// @brief The learned run time estimate of a template. Complexity: logarithmic.
     [[nodiscard]] run_estimate estimate_of(template_id id) const;
-    /// @brief The newest position of root's log that this hall has acted on.
+    /// @brief The newest position of root's log that this hall has applied.
     [[nodiscard]] log_index root_seen() const
     {
         return m_root_seen;
@@ -353,14 +353,14 @@
     {
         return m_claims.size();
     }
-    /// @brief Takes what changed since the last call.
+    /// @brief Returns and clears the changes since the last call.
     [[nodiscard]] hall_changes take_changes();
-    /// @brief Checks what must always hold, for tests. @return an empty string, or what is broken
+    /// @brief Checks the invariants, for tests. @return an empty string, or the violated invariant
     [[nodiscard]] std::string check() const;
 
-    /// @brief The whole state as bytes. Complexity: linear in the state.
+    /// @brief Serializes the whole state. Complexity: linear in the state.
     [[nodiscard]] std::string save() const;
-    /// @brief Replaces the state. @return whether the bytes were readable
+    /// @brief Replaces the state with a serialized one. @return whether the bytes could be decoded
     bool load(std::string_view bytes);
 
   private:
--- a/include/walkthread/state/model.hpp
+++ b/include/walkthread/state/model.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief What operators describe: templates, parameters, configurations, and the jobs made of them.
+/// @brief Data model of workloads: templates, parameters, configurations, and the jobs created from them.
 /// @since 0.1
 
 #include <cstdint>
@@ -15,32 +15,32 @@
 namespace walkthread
 {
 
-/// @brief How the tasks of a job are treated.
+/// @brief Kind of workload; decides how the tasks of a job are scheduled.
 enum class workload_kind : std::uint8_t
 {
-    service = 0, ///< long-running; answers requests; spread over racks and halls
-    batch = 1,   ///< ends; packed; may wait
-    gang = 2,    ///< ends; all tasks start together or none
+    service = 0, ///< long-running; serves requests; spread over racks and halls
+    batch = 1,   ///< finite; packed; may wait
+    gang = 2,    ///< finite; all tasks start together or none
 };
 
-/// @brief The urgency that counts as urgent: starts first and may preempt.
+/// @brief The urgency from which work is urgent: it is placed first and may preempt.
 inline constexpr std::uint8_t urgent = 3;
-/// @brief The highest urgency that an operator may ask for.
+/// @brief The highest urgency that an operator may request.
 inline constexpr std::uint8_t max_urgency = 3;
 
-/// @brief What a configuration fills in.
+/// @brief Parameters of a configuration.
 /// @since 0.1
 struct parameters
 {
-    resources size{};             ///< of one task
+    resources size{};             ///< resources of one task
     std::uint32_t tasks{};        ///< number of tasks
     std::uint8_t urgency{};       ///< 0 to 3
     std::int64_t run_seconds{};   ///< declared run time of a task; 0 for services
-    std::vector<hall_id> halls{}; ///< where it may run; empty for anywhere
+    std::vector<hall_id> halls{}; ///< halls where it may run; empty for any
     MSGPACK_DEFINE(size, tasks, urgency, run_seconds, halls)
 };
 
-/// @brief Which parameters a configuration gives; the others come from the template. Bits of a mask.
+/// @brief Bit mask of the parameters that a configuration sets; the others come from the template.
 enum class parameter_field : std::uint8_t
 {
     cpu = 1,
@@ -52,7 +52,7 @@
     halls = 64,
 };
 
-/// @brief The template's defaults, overwritten by what a configuration gives.
+/// @brief Merges a configuration's parameters into the template's defaults.
 /// @param given a mask of parameter_field
 [[nodiscard]] parameters merge(const parameters& defaults, const parameters& values, std::uint8_t given);
 
@@ -84,7 +84,7 @@
     MSGPACK_DEFINE(hall, tasks)
 };
 
-/// @brief A configuration as it stands.
+/// @brief The current version of a configuration.
 /// @since 0.1
 struct configuration
 {
@@ -94,11 +94,11 @@
     parameters values{};
     version_id version{};
     bool withdrawn{};
-    std::vector<job_id> jobs{}; ///< jobs of it that have not ended
+    std::vector<job_id> jobs{}; ///< its jobs that have not ended
     MSGPACK_DEFINE(name, template_name, team, values, version, withdrawn, jobs)
 };
 
-/// @brief A job: one run of a configuration, as root hands it to halls.
+/// @brief A job: one run of a configuration, as root sends it to the halls.
 /// @since 0.1
 struct job_spec
 {
@@ -106,7 +106,7 @@
     organisation_id organisation{};
     team_id team{};
     template_id from{};
-    std::string name{}; ///< of the configuration
+    std::string name{}; ///< name of the configuration
     version_id version{};
     std::uint8_t kind{};
     bool repeatable{};
@@ -119,23 +119,23 @@
     {
         return static_cast<workload_kind>(kind);
     }
-    /// @brief Tasks that a hall runs. Complexity: linear in the parts.
+    /// @brief Number of tasks that a hall runs. Complexity: linear in the parts.
     [[nodiscard]] std::uint32_t tasks_in(hall_id hall) const;
 };
 
-/// @brief How a job ended.
+/// @brief Outcome of a job.
 enum class job_outcome : std::uint8_t
 {
-    running = 0,   ///< it has not ended
-    completed = 1, ///< every task ended well
-    failed = 2,    ///< a task failed and may not run again
+    running = 0,   ///< not ended yet
+    completed = 1, ///< every task completed
+    failed = 2,    ///< a task failed and must not be rerun
     cancelled = 3, ///< withdrawn before it ended
-    unknown = 4,   ///< a not-repeatable task was lost with its worker
+    unknown = 4,   ///< a non-repeatable task was lost or stopped with unknown effect
 };
 
-/// @brief The word for an outcome, as printed and in JSON.
+/// @brief The name of an outcome, as printed and in JSON.
 [[nodiscard]] const char* to_string(job_outcome outcome);
-/// @brief The word for a kind, as printed and in JSON.
+/// @brief The name of a workload kind, as printed and in JSON.
 [[nodiscard]] const char* to_string(workload_kind kind);
 
 } // namespace walkthread
--- a/include/walkthread/state/root.hpp
+++ b/include/walkthread/state/root.hpp
@@ -1,10 +1,11 @@
 #pragma once
 
 /// @file
-/// @brief The root state machine: templates, teams, configurations and the jobs made of them.
+/// @brief The root state machine: templates, teams, configurations and the jobs created from them.
 ///
-/// Every replica applies the same commands in the same order and gets the same state and the same results. A
-/// command's time is the leader's wall time in the entry; nothing here reads a clock.
+/// Deterministic: every replica applies the same commands in the same order and reaches the same state and
+/// the same results. The time of a command is the leader's wall time stored in the entry; no clock is read
+/// here.
 /// @since 0.1
 
 #include <cstdint>
@@ -22,7 +23,7 @@
 namespace walkthread
 {
 
-/// @brief Makes or changes a template.
+/// @brief Creates or updates a template.
 struct put_template
 {
     organisation_id organisation{};
@@ -31,7 +32,7 @@
     MSGPACK_DEFINE(organisation, request_id, content)
 };
 
-/// @brief Makes or changes a team and its quota.
+/// @brief Creates or updates a team and its quota.
 struct put_team
 {
     organisation_id organisation{};
@@ -41,7 +42,7 @@
     MSGPACK_DEFINE(organisation, request_id, name, quota)
 };
 
-/// @brief Submits or changes a configuration, by compare-and-set on its version.
+/// @brief Creates or updates a configuration, by compare-and-set on its version.
 struct put_configuration
 {
     organisation_id organisation{};
@@ -51,7 +52,7 @@
     std::string template_name{};
     std::string team{};
     parameters values{};
-    std::uint8_t given{};           ///< which of the values count, as a mask of parameter_field
+    std::uint8_t given{};           ///< mask of parameter_field: which of the values are set
     std::vector<hall_part> parts{}; ///< chosen by the root leader
     MSGPACK_DEFINE(organisation, request_id, name, expected, template_name, team, values, given, parts)
 };
@@ -66,7 +67,7 @@
     MSGPACK_DEFINE(organisation, request_id, name, expected)
 };
 
-/// @brief Runs a batch or gang configuration once more.
+/// @brief Creates another job of a batch or gang configuration.
 struct run_configuration
 {
     organisation_id organisation{};
@@ -85,7 +86,7 @@
     MSGPACK_DEFINE(organisation, request_id, jobs)
 };
 
-/// @brief What a hall says of a job that ended there.
+/// @brief A hall's report on a job that ended there.
 struct job_end
 {
     job_id job{};
@@ -94,7 +95,7 @@
     MSGPACK_DEFINE(job, hall, outcome)
 };
 
-/// @brief Halls report ended jobs; told twice, it counts once.
+/// @brief Reports of halls on ended jobs; duplicates have no effect.
 struct finish_jobs
 {
     std::vector<job_end> ends{};
@@ -104,29 +105,29 @@
 using root_command = std::variant<put_template, put_team, put_configuration, withdraw_configuration,
                                   run_configuration, cancel_jobs, finish_jobs>;
 
-/// @brief What a command did.
+/// @brief Result of a root command.
 /// @since 0.1
 struct root_result
 {
-    int code{};           ///< a state_code; 0 when it took effect
-    version_id version{}; ///< of the configuration after the command
+    int code{};           ///< a state_code; 0 if the command took effect
+    version_id version{}; ///< version of the configuration after the command
     std::vector<job_id> jobs{};
     std::string detail{};
     MSGPACK_DEFINE(code, version, jobs, detail)
 };
 
-/// @brief A job as root keeps it.
+/// @brief State of a job in root.
 /// @since 0.1
 struct root_job
 {
     job_spec spec{};
     bool cancelled{};
-    std::uint8_t outcome{};          ///< worst of the halls that ended
+    std::uint8_t outcome{};          ///< worst outcome reported by a hall
     std::vector<hall_id> ended_in{}; ///< halls that reported its end
     MSGPACK_DEFINE(spec, cancelled, outcome, ended_in)
 };
 
-/// @brief A team as root keeps it.
+/// @brief State of a team in root.
 /// @since 0.1
 struct team_record
 {
@@ -162,15 +163,15 @@
     {
         return m_jobs;
     }
-    /// @brief The newest jobs that ended, oldest first.
+    /// @brief The most recently created jobs that have ended, oldest first.
     [[nodiscard]] const std::map<job_id, root_job>& ended_jobs() const
     {
         return m_ended;
     }
 
-    /// @brief The whole state as bytes. Complexity: linear in the state.
+    /// @brief Serializes the whole state. Complexity: linear in the state.
     [[nodiscard]] std::string save() const;
-    /// @brief Replaces the state. @return whether the bytes were readable
+    /// @brief Replaces the state with a serialized one. @return whether the bytes could be decoded
     bool load(std::string_view bytes);
 
   private:
--- a/include/walkthread/storage/data_folder.hpp
+++ b/include/walkthread/storage/data_folder.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
 /// @file
-/// @brief The data folder: identity, one write-ahead log for all groups of a process, and snapshots.
+/// @brief The data folder: node identity, one write-ahead log for all groups of a process, and snapshots.
 ///
-/// Every byte that a promise rests on is synced here before it is answered for. One log for all groups lets
-/// one sync cover a whole batch of entries of many groups.
+/// Data is made durable here before it is acknowledged. With one log for all groups, a single fsync covers a
+/// batch of entries of many groups.
 /// @since 0.1
 
 #include <cstdint>
@@ -25,26 +25,28 @@
 /// @brief Errors of the storage layer.
 enum class storage_code
 {
-    cannot_open = 201,       ///< the folder or a file in it cannot be opened or made
-    cannot_write = 202,      ///< a write failed, for instance on a full disk
-    cannot_sync = 203,       ///< a sync failed; the process must stop and not try the same pages again
-    damaged = 204,           ///< a record before synced ones is damaged
+    cannot_open = 201,  ///< the folder or a file in it cannot be opened or created
+    cannot_write = 202, ///< a write failed, for instance on a full disk
+    cannot_sync = 203,  ///< an fsync failed; the process must stop, as a retry could succeed without writing
+                        ///< the pages
+    damaged = 204, ///< a record is corrupted although valid ones follow it, or a required file is missing or
+                   ///< unreadable
     foreign_folder = 205,    ///< the folder belongs to another node
-    already_formatted = 206, ///< the folder has an identity already, so no cell can be founded with it
+    already_formatted = 206, ///< the folder already has an identity and cannot be used to initialize a cell
 };
 using storage_error = layer_error<storage_code>;
 
-/// @brief Who a data folder is.
+/// @brief Identity of a data folder.
 /// @since 0.1
 struct folder_identity
 {
     node_id node{};
     incarnation_id incarnation{};
-    std::map<group_id, membership> founding{}; ///< first members of each group, if made by `--init-cell`
+    std::map<group_id, membership> founding{}; ///< initial members of each group, if created by `--init-cell`
     MSGPACK_DEFINE(node, incarnation, founding)
 };
 
-/// @brief An entry of one group, as logged.
+/// @brief Write-ahead log record: an entry of one group.
 struct entry_record
 {
     group_id group{};
@@ -52,7 +54,7 @@
     MSGPACK_DEFINE(group, entry)
 };
 
-/// @brief A term and vote of one group, as logged.
+/// @brief Write-ahead log record: the hard state of one group's replica.
 struct state_record
 {
     group_id group{};
@@ -60,7 +62,7 @@
     MSGPACK_DEFINE(group, state)
 };
 
-/// @brief Names the newest snapshot of one group; entries up to it are void.
+/// @brief Write-ahead log record: index of the newest snapshot of one group; entries up to it are obsolete.
 struct snapshot_record
 {
     group_id group{};
@@ -70,14 +72,14 @@
 
 using log_record = std::variant<entry_record, state_record, snapshot_record>;
 
-/// @brief The data folder of one process. Not for use by two threads at once.
+/// @brief The data folder of one process. Not thread-safe.
 /// @since 0.1
 class data_folder
 {
   public:
-    /// @brief Opens a folder and reads all of it; makes and formats it if it is missing or empty.
+    /// @brief Opens a folder and recovers its content; creates and initializes it if it is missing or empty.
     /// @param path the folder
-    /// @param fresh the identity to give to an empty folder
+    /// @param new_identity the identity for an empty folder; its node must match that of an existing folder
     /// @return the folder, or cannot_open, damaged, foreign_folder
     static result<std::unique_ptr<data_folder>, storage_error> open(const std::string& path,
                                                                     const folder_identity& fresh);
@@ -89,23 +91,24 @@
     {
         return m_identity;
     }
-    /// @brief What was found for a group; empty for a group without records.
+    /// @brief The recovered state of a group; empty for a group without records.
     [[nodiscard]] replica_start start_of(group_id group) const;
 
-    /// @brief Adds a replica's output to the batch. Nothing is on disk before `sync`.
+    /// @brief Adds a replica's output to the batch. Nothing is durable before `sync`.
     void add(group_id group, const replica_output& output);
-    /// @brief Writes the batch and syncs it. Snapshots in it are stored first.
-    /// @return or cannot_write, cannot_sync, after which the process has to stop
+    /// @brief Makes the batch durable. Snapshots in it are stored first.
+    /// @return success; cannot_write, after which the batch is kept and the call may be repeated; or
+    ///         cannot_sync, after which the process must stop
     [[nodiscard]] result<done, storage_error> sync();
-    /// @brief Stores a snapshot that the replica made of its own state.
+    /// @brief Stores a snapshot that the replica took of its own state.
     [[nodiscard]] result<done, storage_error> store_snapshot(group_id group, const snapshot& content);
-    /// @brief Whether the log has grown enough to be written anew.
+    /// @brief Whether the log has grown enough to be rewritten.
     [[nodiscard]] bool wants_rewrite() const
     {
         return m_log_bytes > m_rewrite_at;
     }
-    /// @brief Starts a new log file that holds just what is needed, then drops the old one.
-    /// @param live each group's present state and tail
+    /// @brief Writes a new log file with only the data still needed, then removes the old one.
+    /// @param live each group's current hard state, snapshot index and log tail
     [[nodiscard]] result<done, storage_error> rewrite(const std::map<group_id, replica_start>& live);
 
     /// @brief Bytes written since the folder was opened.
@@ -113,7 +116,7 @@
     {
         return m_bytes_written;
     }
-    /// @brief Syncs done since the folder was opened.
+    /// @brief Number of log fsyncs since the folder was opened.
     [[nodiscard]] std::uint64_t syncs() const
     {
         return m_syncs;
--- a/include/walkthread/storage/files.hpp
+++ b/include/walkthread/storage/files.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Small helpers over POSIX files, each with the syncs that make it last.
+/// @brief Helpers for POSIX files that include the fsync calls needed for durability.
 /// @since 0.1
 
 #include <string>
@@ -14,16 +14,18 @@
 
 /// @brief Reads a whole file. @return its bytes, or cannot_open
 result<std::string, storage_error> read_file(const std::string& path);
-/// @brief Writes a file beside, syncs it, renames it over `path` and syncs the folder.
+/// @brief Replaces the file `name` atomically: writes a temporary file, fsyncs it, renames it and fsyncs the
+/// folder. @return success, or cannot_open, cannot_write, cannot_sync
 result<done, storage_error> replace_file(const std::string& folder, const std::string& name,
                                          std::string_view bytes);
-/// @brief Syncs a folder, so that names made or removed in it last.
+/// @brief Fsyncs a folder, which makes created and removed names durable.
 result<done, storage_error> sync_folder(const std::string& folder);
 /// @brief Writes all bytes to a descriptor.
 result<done, storage_error> write_all(int file, std::string_view bytes);
-/// @brief The error of the last open that failed: cannot_write for a shortage that passes, else cannot_open.
+/// @brief The error for a failed open, from errno: cannot_write for a transient lack of resources, else
+/// cannot_open.
 storage_error open_error(const std::string& what);
-/// @brief The error of the last failed call, in words.
+/// @brief An error with the message for errno.
 storage_error last_error(storage_code code, const std::string& what);
 
 } // namespace walkthread::detail
--- a/include/walkthread/storage/records.hpp
+++ b/include/walkthread/storage/records.hpp
@@ -20,9 +20,10 @@
 /// @brief Appends a record to a buffer. Complexity: linear in the body.
 void append_record(std::string& buffer, const log_record& record);
 
-/// @brief Reads records in order and hands each to `take`.
-/// @param torn_tail_allowed whether the file is the newest, whose end may have been cut by a crash
-/// @return the number of good bytes, or storage_code::damaged where a bad record stands before a good one
+/// @brief Reads records in order and passes each to `take`.
+/// @param torn_tail_allowed whether the file is the newest, whose last write may be incomplete after a crash
+/// @return the number of valid bytes, or storage_code::damaged if a corrupted record precedes a valid one or
+///         no torn tail is allowed
 result<std::size_t, storage_error> read_records(std::string_view bytes, bool torn_tail_allowed,
                                                 const std::function<void(log_record)>& take);
 
--- a/include/walkthread/units/amounts.hpp
+++ b/include/walkthread/units/amounts.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Amounts of what a host has: processors, memory, accelerators and slots.
+/// @brief Resource amounts: processors, memory, accelerators and task slots.
 /// @since 0.1
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 /// @brief Memory, in mebibytes.
 using mebibytes = strong<struct mebibytes_tag, std::int64_t>;
 
-/// @brief What a task asks for, or what a host has or has free.
+/// @brief Resources that a task requests, or that a host has in total or available.
 /// @since 0.1
 struct resources
 {
@@ -70,8 +70,8 @@
            need.slots <= free.slots;
 }
 
-/// @brief The largest part of `whole` that `used` takes in any dimension (the dominant share), 0 to 1.
-/// Slots are no resource of their own and do not count. Complexity: constant.
+/// @brief The dominant share: the largest fraction of `whole` that `used` takes in any dimension, 0 to 1.
+/// Task slots are not a resource in their own right and are not counted. Complexity: constant.
 [[nodiscard]] inline double dominant_share(const resources& used, const resources& whole)
 {
     const auto part = [](double a, double b)
--- a/include/walkthread/units/ids.hpp
+++ b/include/walkthread/units/ids.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Identifiers of everything that walkthread counts.
+/// @brief Strongly typed identifiers.
 /// @since 0.1
 
 #include <string>
@@ -13,7 +13,7 @@
 
 /// @brief A control or gateway process, as numbered in the settings.
 using node_id = strong<struct node_id_tag, std::uint16_t>;
-/// @brief One life of a data folder. A lost folder comes back under another one.
+/// @brief Incarnation of a data folder. A folder that is recreated after a loss gets another one.
 using incarnation_id = strong<struct incarnation_id_tag, std::uint64_t>;
 /// @brief A replicated group: 0 is root, hall groups follow.
 using group_id = strong<struct group_id_tag, std::uint16_t>;
@@ -27,11 +27,11 @@
 using organisation_id = strong<struct organisation_id_tag, std::uint16_t>;
 /// @brief A team inside an organisation, numbered by root.
 using team_id = strong<struct team_id_tag, std::uint32_t>;
-/// @brief A worker: the platform's number of the host that runs tasks.
+/// @brief A worker, identified by the platform's number of its host.
 using worker_id = strong<struct worker_id_tag, std::uint32_t>;
 /// @brief A rack inside a hall.
 using rack_id = strong<struct rack_id_tag, std::uint32_t>;
-/// @brief A lease epoch of a worker; a new registration gets the next one.
+/// @brief A lease epoch of a worker, incremented by each registration.
 using epoch_id = strong<struct epoch_id_tag, std::uint32_t>;
 /// @brief A job: one run of a configuration.
 using job_id = strong<struct job_id_tag, std::uint64_t>;
@@ -39,7 +39,7 @@
 using template_id = strong<struct template_id_tag, std::uint32_t>;
 /// @brief A version of a configuration, from 1; 0 means that it does not exist.
 using version_id = strong<struct version_id_tag, std::uint64_t>;
-/// @brief One exchange between a gateway and an endpoint.
+/// @brief One attempt of a gateway to send a request to an endpoint.
 using attempt_id = strong<struct attempt_id_tag, std::uint64_t>;
 
 /// @brief The group that holds root state.
@@ -61,7 +61,7 @@
     MSGPACK_DEFINE(node, incarnation)
 };
 
-/// @brief A task of a job: the job and the task's number in it.
+/// @brief A task of a job: the job and the task's index in it, from 0.
 /// @since 0.1
 struct task_id
 {
@@ -71,7 +71,7 @@
     MSGPACK_DEFINE(job, index)
 };
 
-/// @brief One run of a task; a task that moves gets the next run number.
+/// @brief One run of a task; each placement of the task gets the next run number.
 /// @since 0.1
 struct run_id
 {
@@ -81,7 +81,7 @@
     MSGPACK_DEFINE(task, run)
 };
 
-/// @brief Prints a run as `job/index/run`, the form used on every outside protocol.
+/// @brief Formats a run as `job/index/run`, the form used in all external protocols.
 [[nodiscard]] inline std::string to_string(const run_id& run)
 {
     return std::to_string(run.task.job.value()) + '/' + std::to_string(run.task.index) + '/' +
--- a/include/walkthread/units/result.hpp
+++ b/include/walkthread/units/result.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Results: a value or an error of the layer that answers.
+/// @brief Results: either a value or an error of the layer that returns it.
 /// @since 0.1
 
 #include <string>
@@ -11,7 +11,7 @@
 namespace walkthread
 {
 
-/// @brief An error of one layer: a code with a stable number and a sentence for people.
+/// @brief An error of one layer: a code with a stable number and a human-readable message.
 /// @tparam Code the layer's enumeration; its values are the numbers listed in docs/ERRORS.md
 /// @since 0.1
 template <typename Code>
--- a/include/walkthread/units/strong.hpp
+++ b/include/walkthread/units/strong.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Strong types: a number that can only be mixed with its own kind.
+/// @brief Strong typedefs for integers.
 /// @since 0.1
 
 #include <compare>
@@ -14,9 +14,9 @@
 namespace walkthread
 {
 
-/// @brief A value of type `Rep` that only mixes with values of the same `Tag`.
-/// @tparam Tag an empty type that names the kind
-/// @tparam Rep the representation, an integer
+/// @brief A value of type `Rep` that can be compared only with values of the same `Tag`.
+/// @tparam Tag an empty type that distinguishes the typedef
+/// @tparam Rep the underlying integer type
 /// @since 0.1
 template <typename Tag, typename Rep>
 class strong
@@ -29,7 +29,7 @@
     {
     }
 
-    /// @brief The bare number, for arithmetic at the edge of a layer.
+    /// @brief The underlying number.
     [[nodiscard]] constexpr Rep value() const
     {
         return m_value;
--- a/include/walkthread/units/time.hpp
+++ b/include/walkthread/units/time.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Times and durations. No function here reads a clock: `now` is always an argument.
+/// @brief Times and durations. Functions take the current time as an argument instead of reading a clock.
 /// @since 0.1
 
 #include <chrono>
@@ -12,7 +12,7 @@
 
 namespace detail
 {
-/// @brief Names a time line without a clock, so that pure layers cannot ask for the time.
+/// @brief A clock type without `now()`, so that deterministic layers cannot read the time.
 struct monotonic_time_line
 {
     using duration = std::chrono::microseconds;
@@ -23,11 +23,11 @@
 };
 } // namespace detail
 
-/// @brief A time on one process's monotonic clock. Never sent to be compared elsewhere.
+/// @brief A time on one process's monotonic clock. Not comparable between processes.
 using monotonic_time = detail::monotonic_time_line::time_point;
-/// @brief A span of time, in microseconds.
+/// @brief A duration in microseconds.
 using duration = std::chrono::microseconds;
-/// @brief Wall time in milliseconds since 1970, as stamped on log entries by a leader.
+/// @brief Wall time in milliseconds since the Unix epoch, as stored in log entries by the leader.
 using wall_ms = std::int64_t;
 
 using std::chrono::milliseconds;
--- a/include/walkthread/wire/codec.hpp
+++ b/include/walkthread/wire/codec.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Typed values to bytes and back, by msgpack, with limits for what comes from a network or a disk.
+/// @brief Encoding of typed values with msgpack; decoding enforces limits on untrusted input.
 /// @since 0.1
 
 #include <optional>
@@ -20,11 +20,11 @@
 /// @brief Errors of the wire layer.
 enum class wire_code
 {
-    malformed = 101,       ///< bytes are no msgpack value, or break a limit
-    wrong_type = 102,      ///< a value of another type than expected
-    unknown_message = 103, ///< a message kind that this version does not know
-    frame_too_long = 104,  ///< the length prefix is above the cap
-    unknown_version = 105, ///< the frame's protocol version is not ours
+    malformed = 101,       ///< the bytes are not a msgpack value, or exceed a limit
+    wrong_type = 102,      ///< a value has an unexpected type
+    unknown_message = 103, ///< the message kind is unknown to this version
+    frame_too_long = 104,  ///< the length prefix exceeds the limit
+    unknown_version = 105, ///< the frame has another protocol version
 };
 using wire_error = layer_error<wire_code>;
 
@@ -91,13 +91,14 @@
         {
             if (object.type != msgpack::type::ARRAY || object.via.array.size != 2)
             {
-                return wire_error{wire_code::wrong_type, "A message is a pair of kind and body."};
+                return wire_error{wire_code::wrong_type, "Expected a message as an array of kind and body."};
             }
             const auto index = object.via.array.ptr[0].as<std::uint32_t>();
             constexpr auto kinds = std::make_index_sequence<std::variant_size_v<T>>{};
             if (!detail::emplace_by_index(out, index, object.via.array.ptr[1], kinds))
             {
-                return wire_error{wire_code::unknown_message, "Message kind " + std::to_string(index) + '.'};
+                return wire_error{wire_code::unknown_message,
+                                  "Unknown message kind " + std::to_string(index) + '.'};
             }
         }
         else
@@ -108,7 +109,7 @@
     }
     catch (const msgpack::type_error&)
     {
-        return wire_error{wire_code::wrong_type, "A field has another type."};
+        return wire_error{wire_code::wrong_type, "A field has an unexpected type."};
     }
     catch (const std::exception& failure)
     {
--- a/include/walkthread/wire/frame.hpp
+++ b/include/walkthread/wire/frame.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Frames between our processes: length (4 bytes, big endian), version (1 byte), msgpack body.
+/// @brief Framing between walkthread processes: length (4 bytes, big endian), version (1 byte), msgpack body.
 /// @since 0.1
 
 #include <cstdint>
@@ -17,25 +17,26 @@
 
 /// @brief The version byte of every frame.
 inline constexpr std::uint8_t frame_version = 1;
-/// @brief The longest body that a frame may carry, in bytes.
+/// @brief Largest body of a frame, in bytes.
 inline constexpr std::uint32_t max_frame_body = 64U << 20U;
-/// @brief Bytes before the body.
+/// @brief Size of the header before the body, in bytes.
 inline constexpr std::size_t frame_header_size = 5;
 
-/// @brief Puts the header before a body. Complexity: linear in the body.
+/// @brief Builds a frame from a body. Complexity: linear in the body.
 [[nodiscard]] std::string make_frame(std::string_view body);
 
-/// @brief Cuts a stream of bytes into frames. Nothing larger than the cap is ever buffered.
+/// @brief Splits a byte stream into frames. A frame above the size limit is rejected once its header
+/// has been read.
 /// @since 0.1
 class frame_reader
 {
   public:
-    /// @brief Takes bytes as they arrive.
+    /// @brief Appends received bytes.
     void feed(std::string_view bytes);
 
-    /// @brief The next whole body, if there is one.
-    /// @return no value while a frame is incomplete, or wire_code::frame_too_long or unknown_version,
-    ///         after which the connection is of no more use
+    /// @brief Returns the body of the next complete frame, if there is one.
+    /// @return the body; no value while the frame is incomplete; or wire_code::frame_too_long or
+    ///         unknown_version, after which the connection must be closed
     [[nodiscard]] result<std::optional<std::string>, wire_error> next();
 
   private:
--- a/src/replication/newcomers.cpp
+++ b/src/replication/newcomers.cpp
@@ -36,7 +36,7 @@
             out.present = voter;
             return out;
         }
-        newcomer.promote = true; // the disk of that voter is gone for good
+        newcomer.promote = true; // that voter's disk is lost
         newcomer.replaces = voter;
     }
     for (const learner& item : members.learners)
@@ -46,7 +46,7 @@
             continue;
         }
         is_present(item.id, settings, hooks, now) ? out.present = item.id : out.remove = item.id;
-        return out; // it asks again once the earlier one is removed
+        return out; // the replica repeats its request after the earlier one is removed
     }
     out.add = newcomer;
     return out;
--- a/src/replication/replica.cpp
+++ b/src/replication/replica.cpp
@@ -32,9 +32,10 @@
     m_synced = m_log.last_index();
     m_taken = m_synced;
     recompute_members();
-    // A leader may still rely on what was promised before the restart.
+    // A leader may still rely on a lease that was granted before the restart.
     m_promise = std::clamp(duration{m_state.promise}, m_settings.election_timeout, m_settings.election_most);
-    // Whoever led last holds its lease no more once it has restarted, and no one else can: it need not wait.
+    // A restarted leader no longer holds its lease, and while it held it nobody else could obtain one, so it
+    // can campaign without waiting.
     const bool led_last = m_state.leader == m_self;
     set_election_timer(led_last ? duration{0} : m_promise, now);
 }
@@ -84,7 +85,7 @@
     }
     if (m_log.last_index().value() - m_commit.value() >= m_settings.max_uncommitted)
     {
-        return replication_error{replication_code::overloaded, "Too many entries wait for a quorum."};
+        return replication_error{replication_code::overloaded, "Too many uncommitted entries."};
     }
     append_local(entry_kind::command, std::move(data));
     advance_commit(now);
@@ -134,7 +135,8 @@
     }
     if (!m_members.is_member(member))
     {
-        return replication_error{replication_code::unknown_member, "No such member."};
+        return replication_error{replication_code::unknown_member,
+                                 "The replica is not a member of the group."};
     }
     membership next = m_members;
     std::erase(next.voters, member);
@@ -196,7 +198,7 @@
     replica_output out;
     if (m_output.install)
     {
-        return out; // what follows a snapshot waits for it
+        return out; // entries after a snapshot must wait until it is installed
     }
     out.apply = std::exchange(m_output.apply, {});
     if (m_role != replica_role::leader || m_output.state)
--- a/src/replication/replica_election.cpp
+++ b/src/replication/replica_election.cpp
@@ -1,4 +1,4 @@
-// The part of replica that elects leaders and keeps their leases.
+// Leader election and leases of replica.
 
 #include <walkthread/replication/replica.hpp>
 
@@ -9,7 +9,8 @@
 
 namespace
 {
-// A leader asks for a longer promise once its quorum's answers are that part of it old, and for so much more.
+// A leader extends the requested lease by lease_extension_factor once the last contact with its quorum is
+// older than this fraction of the lease.
 constexpr double slow_part = 0.6;
 constexpr double longer_factor = 1.5;
 } // namespace
@@ -29,7 +30,7 @@
         m_state.vote = m_self;
         m_output.state = m_state;
     }
-    // A question is asked again soon, each replica in its turn; votes may wait for slow disks.
+    // A pre-vote is repeated after one round of staggered campaigns; a vote must allow for slow fsyncs.
     const duration round = m_settings.election_step * static_cast<std::int64_t>(m_members.voters.size());
     set_election_timer(pre ? round : m_settings.vote_patience, now);
     if (m_members.quorum() == 1)
@@ -49,7 +50,7 @@
 
 void replica::handle(const replica_id& from, const vote_request& m, monotonic_time now)
 {
-    // One that this replica follows and that asks for votes leads no more.
+    // A leader that campaigns has lost leadership, so the lease granted to it is no reason to refuse.
     const bool was_leader = m_state.leader == from;
     const bool refused_by_leader = hears_leader(now) && !m.transfer && !was_leader;
     if (m.pre)
@@ -125,9 +126,9 @@
     set_election_timer(m_promise, now);
 }
 
-// Takes a message of the leader as a sign of life. A longer promise is synced before it is answered for, so
-// that it holds over a restart; the leader of a later term starts with its own, as every earlier lease is
-// over then.
+// Records contact with the leader and grants the requested lease. A longer lease is made durable before the
+// reply, so that it is honoured after a restart. The leader of a later term starts with its own duration, as
+// all earlier leases have expired by then.
 void replica::heed_leader(term_id term, const replica_id& leader, std::int64_t asked, monotonic_time now)
 {
     const duration wanted =
@@ -149,8 +150,8 @@
     }
 }
 
-// Where a quorum answers slowly, as its disks are slow, a short lease would run out between two answers, and
-// the leader would lose its place over and over.
+// When a quorum replies slowly, for instance because of slow disks, a short lease would expire between two
+// replies and the leader would be deposed repeatedly.
 void replica::adapt_promise(monotonic_time now)
 {
     const duration silence = now - std::max(quorum_contact(now), m_leader_since);
@@ -164,7 +165,7 @@
     m_asked.push_back({now, m_promise});
 }
 
-// What a message of this leader asked for that was sent at that time.
+// The lease duration that a message sent by this leader at the given time requested.
 duration replica::promise_asked_at(monotonic_time sent) const
 {
     duration asked = m_asked.front().promise;
@@ -204,9 +205,8 @@
     }
 }
 
-// The replicas stand one after the other, each a step later than the one before it, and the term decides who
-// comes first: two that stand at once would split the votes. The half step lets all of them notice the
-// silence first.
+// Staggers the campaigns to avoid split votes: the replicas campaign one after the other, in an order rotated
+// by the term. The first half step gives all of them time to detect the loss of the leader.
 void replica::set_election_timer(duration wait, monotonic_time now)
 {
     const auto rank = static_cast<std::int64_t>(own_rank());
@@ -239,7 +239,8 @@
                                           : m_last_leader_contact + m_promise > now;
 }
 
-// When each voter last surely heard this leader: the times at which the messages were sent that it answered.
+// A lower bound of each voter's last contact with this leader: the send time of the last message it replied
+// to.
 std::vector<monotonic_time> replica::voters_contact(monotonic_time now) const
 {
     std::vector<monotonic_time> times;
@@ -263,9 +264,10 @@
     return times[m_members.quorum() - 1];
 }
 
-// Until when a quorum surely gives its votes to nobody else, whatever the drift of two clocks. Only what was
-// asked for in a message that was answered counts: a leader that is cut off asks for ever longer promises in
-// vain, and held its lease 0.75 s in place of 0.34 s with them, beside the next leader.
+// The time until which a quorum votes for nobody else, given the largest clock drift. Counts only durations
+// requested in messages that were acknowledged: a partitioned leader keeps requesting longer leases that
+// nobody grants, and would otherwise consider its lease valid for 0.75 s instead of 0.34 s, alongside the
+// next leader.
 monotonic_time replica::lease_end(monotonic_time now) const
 {
     const double safe_part = 1.0 - 2.0 * m_settings.clock_drift;
--- a/src/replication/replica_log.cpp
+++ b/src/replication/replica_log.cpp
@@ -1,4 +1,4 @@
-// The half of replica that keeps logs and memberships equal; elections are in replica.cpp.
+// Log replication and membership changes of replica; elections are in replica_election.cpp.
 
 #include <walkthread/replication/replica.hpp>
 
@@ -11,11 +11,14 @@
 
 namespace
 {
-constexpr int heartbeats_for_entries = 3; // a large batch unanswered for so many heartbeats is sent again
-constexpr std::size_t cheap_to_repeat = 64U << 10U; // bytes that go again with each heartbeat without harm
-constexpr duration snapshot_patience = seconds(3);  // some megabytes over a busy small host, and loading them
+constexpr int heartbeats_for_entries =
+    3; // a large batch is resent after this many heartbeats without a reply
+constexpr std::size_t cheap_to_repeat =
+    64U << 10U; // batches up to this size are cheap enough to resend with each heartbeat
+constexpr duration snapshot_patience =
+    seconds(3); // sending and loading some megabytes on a small host under load
 constexpr std::uint64_t promotion_lag =
-    512; // half a second of the busiest load: under it a follower is never level
+    512; // entries of half a second at peak load, when a follower never fully catches up
 
 log_index after(log_index index)
 {
@@ -73,7 +76,7 @@
         {
             m_log.truncate_from(entry.index);
             m_synced = std::min(m_synced, m_log.last_index());
-            m_taken = std::min(m_taken, m_log.last_index()); // what replaces them is not taken yet
+            m_taken = std::min(m_taken, m_log.last_index()); // the replacing entries have not been output yet
             std::erase_if(m_output.append,
                           [&entry](const log_entry& e)
                           {
@@ -122,7 +125,7 @@
     p.last_reply = now;
     p.acked_sent_at = std::max(p.acked_sent_at, from_stamp(m.sent_at));
     p.snapshot_in_flight = false;
-    // A heartbeat's answer says nothing about entries that are still on their way.
+    // The reply to a heartbeat does not acknowledge entries that are still in flight.
     const bool large = p.in_flight_bytes > cheap_to_repeat;
     p.in_flight = p.in_flight && large && m.accepted && m.match < p.in_flight_to;
     if (!m.accepted)
@@ -146,7 +149,8 @@
     heed_leader(m.term, from, m.promise, now);
     if (m_log.term_at(m.content.index) == m.content.term)
     {
-        // The log holds all of it and may hold more, which was answered for: nothing is to be replaced.
+        // The log already contains the snapshot's entries, and later ones may have been acknowledged: keep
+        // it.
         commit_to(m.content.index);
     }
     else if (m.content.index > m_commit)
@@ -203,7 +207,7 @@
     send(to, std::move(request));
 }
 
-// Keeps the follower from standing for election while entries are on their way to it: those go only once.
+// Prevents the follower from campaigning while a large batch is in flight, without resending the batch.
 void replica::send_heartbeat(const replica_id& to, progress& p, monotonic_time now)
 {
     append_request request;
@@ -212,7 +216,7 @@
     const std::optional<term_id> known = m_log.term_at(p.match);
     if (!known)
     {
-        return; // it needs a snapshot, which is on its way
+        return; // the follower needs a snapshot, which is already in flight
     }
     request.previous_term = *known;
     request.commit = std::min(m_commit, p.match);
--- a/src/state/claims.cpp
+++ b/src/state/claims.cpp
@@ -46,7 +46,7 @@
     case claim_phase::released:
         if (claim.attempt == request.attempt)
         {
-            return refuse(state_code::not_claim_holder); // a copy of a claim that was given up
+            return refuse(state_code::not_claim_holder); // duplicate of a claim that was released
         }
         claim.phase = static_cast<std::uint8_t>(claim_phase::held);
         claim.attempt = request.attempt;
--- a/src/state/hall.cpp
+++ b/src/state/hall.cpp
@@ -1,4 +1,4 @@
-// Workers, jobs and claims; placement and what becomes of runs are in hall_runs.cpp.
+// Workers, jobs and claims of a hall; placement and run reports are in hall_runs.cpp.
 
 #include <walkthread/state/hall.hpp>
 
@@ -151,7 +151,7 @@
         if (job != m_jobs.end())
         {
             job->second.failed_on.erase(worker.id);
-            job->second.failures = 0; // they say more of the host
+            job->second.failures = 0; // the failures are attributed to the host
             touch(job->second);
         }
     }
@@ -265,7 +265,7 @@
 }
 
 // ---------------------------------------------------------------------------------------------------------
-// Claims and the rest
+// Claims, queries and persistence
 // ---------------------------------------------------------------------------------------------------------
 
 hall_result hall_state::run(wall_ms at, const claim_request& command)
@@ -325,11 +325,12 @@
     {
         if (!(sums[id] == worker.reserved))
         {
-            return "Worker " + std::to_string(id.value()) + ": reservation differs from its tasks.";
+            return "Worker " + std::to_string(id.value()) +
+                   ": reserved resources differ from the sum of its tasks.";
         }
         if (!fits(worker.reserved, worker.size))
         {
-            return "Worker " + std::to_string(id.value()) + " is over its size.";
+            return "Worker " + std::to_string(id.value()) + " has reserved more than its size.";
         }
     }
     return {};
--- a/src/state/hall_runs.cpp
+++ b/src/state/hall_runs.cpp
@@ -1,4 +1,4 @@
-// Placement of tasks, and what becomes of their runs. Workers and jobs are in hall.cpp.
+// Placement of tasks and reports on their runs. Workers and jobs are in hall.cpp.
 
 #include <walkthread/state/hall.hpp>
 
@@ -202,7 +202,7 @@
     }
 }
 
-// A run that may have begun and is not repeatable has no next one, whoever stopped it.
+// A non-repeatable run that may have begun is never followed by another, whatever stopped it.
 void hall_state::end_stopped(wall_ms at, hall_job& job, std::uint32_t index, bool checkpointed)
 {
     task_record& task = job.tasks[index];
--- a/src/state/root.cpp
+++ b/src/state/root.cpp
@@ -11,15 +11,16 @@
 
 namespace
 {
+// A repeated request id is recognized as a duplicate for 24 h.
 constexpr wall_ms request_memory = wall_ms{24} * 3600 * 1000;
-constexpr std::size_t max_ended_jobs = 4096;
+constexpr std::size_t max_ended_jobs = 4096; // number of ended jobs kept for queries
 
 root_result refuse(state_code code, std::string detail, version_id version = {})
 {
     return {static_cast<int>(code), version, {}, std::move(detail)};
 }
 
-/// Digest of what was asked for; the leader's choice of halls is no part of it.
+/// Digest of the request, without the halls that the leader chose.
 template <typename Command>
 std::uint64_t digest_of(Command command)
 {
@@ -61,7 +62,7 @@
             const bool same = found->second.digest == digest;
             return same ? found->second.answer
                         : refuse(state_code::request_id_reused,
-                                 "The request id was used for another command.");
+                                 "The request id was already used for another command.");
         }
         root_result answer = run(at, command);
         m_requests[key] = remembered{digest, at, answer};
--- a/src/storage/data_folder.cpp
+++ b/src/storage/data_folder.cpp
@@ -16,6 +16,8 @@
 
 namespace
 {
+// The log is rewritten once it has grown to this multiple of its size after the last rewrite, but not below
+// the minimum size.
 constexpr std::uint64_t least_rewrite_bytes = 8U << 20U;
 constexpr std::uint64_t rewrite_factor = 4;
 const std::string identity_name = "identity";
@@ -46,14 +48,14 @@
     return numbers;
 }
 
-/// Finds the folder's identity, or gives it the fresh one if it is empty.
+/// Reads the identity of a folder, or stores the new one if the folder is empty.
 result<folder_identity, storage_error> find_identity(const std::string& path, const folder_identity& fresh)
 {
     if (!std::filesystem::exists(path + '/' + identity_name))
     {
         if (!log_numbers(path).empty())
         {
-            return storage_error{storage_code::damaged, "The folder has a log but no identity."};
+            return storage_error{storage_code::damaged, "The folder has a log but no identity file."};
         }
         const auto stored = detail::replace_file(path, identity_name, encode(fresh));
         if (!ok(stored))
@@ -70,7 +72,7 @@
     auto identity = decode<folder_identity>(value_of(bytes));
     if (!ok(identity))
     {
-        return storage_error{storage_code::damaged, "The identity is unreadable."};
+        return storage_error{storage_code::damaged, "The identity file cannot be decoded."};
     }
     if (value_of(identity).node != fresh.node)
     {
@@ -170,7 +172,8 @@
             ok(stored) ? decode<snapshot>(value_of(stored)) : result<snapshot, wire_error>{wire_error{}};
         if (!ok(content) || value_of(content).index < start.base.index)
         {
-            return storage_error{storage_code::damaged, snapshot_name(group) + " is missing or unreadable."};
+            return storage_error{storage_code::damaged,
+                                 snapshot_name(group) + " is missing, unreadable or outdated."};
         }
         start.base = value_of(content);
         const log_index covered = start.base.index;
@@ -293,7 +296,7 @@
     const auto written = detail::write_all(m_log, bytes);
     if (!ok(written))
     {
-        // A part may be there. Cut it off, so that the batch can be written again once the disk takes bytes.
+        // Remove a partial write, so that the batch can be written again once the disk accepts writes.
         const bool cut = ::ftruncate(m_log, static_cast<off_t>(m_log_bytes)) == 0;
         return cut ? written : detail::last_error(storage_code::cannot_sync, log_name(m_log_number));
     }
@@ -336,7 +339,8 @@
     {
         return stored;
     }
-    // With the new file in its place the old one must not grow: read together, the new one would cut it off.
+    // Once the new file exists, nothing may be appended to the old one: on recovery both are read in order,
+    // and the new file would override the appended records.
     const auto opened = ok(stored) ? open_log(old + 1) : stored;
     if (!ok(opened))
     {
--- a/src/storage/files.cpp
+++ b/src/storage/files.cpp
@@ -15,7 +15,7 @@
     return storage_error{code, what + ": " + std::strerror(errno)};
 }
 
-// Short of descriptors, memory or space: that passes, and what is open goes on working.
+// A lack of descriptors, memory or disk space is transient, and files that are already open remain usable.
 storage_error open_error(const std::string& what)
 {
     const bool passes = errno == EMFILE || errno == ENFILE || errno == ENOSPC || errno == EDQUOT ||
--- a/src/storage/records.cpp
+++ b/src/storage/records.cpp
@@ -22,7 +22,7 @@
 };
 static_assert(sizeof(record_header) == record_header_size);
 
-/// Whether a whole record with a good checksum starts here.
+/// Whether the bytes start with a complete record with a valid checksum.
 bool is_good(std::string_view bytes, record_header& header)
 {
     if (bytes.size() < record_header_size)
@@ -38,7 +38,7 @@
     return body.size() >= header.length && XXH3_64bits(body.data(), header.length) == header.checksum;
 }
 
-/// Whether any good record stands somewhere in the bytes.
+/// Whether the bytes contain a valid record after their first byte.
 bool has_good_record(std::string_view bytes)
 {
     record_header header{};
@@ -79,12 +79,14 @@
             {
                 return at;
             }
-            return storage_error{storage_code::damaged, "Damaged record at byte " + std::to_string(at) + '.'};
+            return storage_error{storage_code::damaged,
+                                 "Corrupted record at byte " + std::to_string(at) + '.'};
         }
         auto record = decode<log_record>(rest.substr(record_header_size, header.length));
         if (!ok(record))
         {
-            return storage_error{storage_code::damaged, "Unreadable record: " + error_of(record).detail};
+            return storage_error{storage_code::damaged,
+                                 "Record cannot be decoded: " + error_of(record).detail};
         }
         take(std::move(value_of(record)));
         at += record_header_size + header.length;
--- a/src/wire/frame.cpp
+++ b/src/wire/frame.cpp
@@ -5,7 +5,7 @@
 
 namespace
 {
-constexpr std::size_t compact_threshold = 1U << 16U;
+constexpr std::size_t compact_threshold = 1U << 16U; // consumed bytes after which the buffer is compacted
 
 std::uint32_t read_length(std::string_view header)
 {
@@ -52,11 +52,12 @@
     const std::uint32_t length = read_length(rest);
     if (length > max_frame_body)
     {
-        return wire_error{wire_code::frame_too_long, std::to_string(length) + " bytes."};
+        return wire_error{wire_code::frame_too_long,
+                          std::to_string(length) + " bytes exceed the frame limit."};
     }
     if (static_cast<std::uint8_t>(rest[4]) != frame_version)
     {
-        return wire_error{wire_code::unknown_version, "This process speaks version 1."};
+        return wire_error{wire_code::unknown_version, "Unsupported frame version; expected version 1."};
     }
     if (rest.size() < frame_header_size + length)
     {
--- a/tests/src/replica_network.hpp
+++ b/tests/src/replica_network.hpp
@@ -1,7 +1,8 @@
 #pragma once
 
-// Several real replicas of one group over a queue that loses, repeats and reorders messages, in virtual time.
-// The replicas' clocks drift, freeze and restart; disks are lost. Invariants are checked after each step.
+// Simulates the replicas of one group in virtual time. The network loses, duplicates, reorders and delays
+// messages; replicas restart, freeze and lose their disks, and their clocks drift. Invariants are checked
+// after each step.
 
 #include <cstdint>
 #include <map>
@@ -20,8 +21,8 @@
 {
     double loss = 0.0;
     double repeat = 0.0;
-    double drift = 0.04;         // largest difference of a clock's speed from true time
-    std::uint64_t delay_ms = 60; // longest way of a message
+    double drift = 0.04;         // largest deviation of a clock's rate from true time
+    std::uint64_t delay_ms = 60; // largest delay of a message
 };
 
 class replica_network
@@ -44,7 +45,7 @@
         }
     }
 
-    // Lets true time pass in small steps.
+    // Advances true time in steps of 10 ms.
     void run(milliseconds span)
     {
         const monotonic_time end = m_now + span;
@@ -94,7 +95,7 @@
     {
         m_members[id].frozen_until = m_now + span;
     }
-    // Loses the disk; the node comes back as a newcomer under another incarnation.
+    // Loses the disk; the node restarts with an empty one under another incarnation.
     replica_id lose_disk(const replica_id& id)
     {
         m_members.erase(id);
@@ -116,12 +117,12 @@
     {
         m_rates.delay_ms = longest_ms;
     }
-    // Terms in which somebody led.
+    // Number of terms that had a leader.
     std::size_t terms_led() const
     {
         return m_leaders.size();
     }
-    // Asks the leader, if there is one, to replace a lost member.
+    // Adds `fresh` at the leader, if there is one, as the replacement of `old`.
     bool replace(const replica_id& fresh, const replica_id& old)
     {
         replica* leader = find_leader();
@@ -214,7 +215,7 @@
         return monotonic_time{duration{static_cast<std::int64_t>(elapsed * m.speed)}};
     }
 
-    // What the owner of a replica does: sync, send, apply.
+    // Handles a replica's output as its owner would: make durable, send, apply.
     void flush(const replica_id& id)
     {
         member& m = m_members[id];
@@ -271,14 +272,14 @@
     {
         if (entry.index.value() != m.applied.value() + 1)
         {
-            m_broken = "applied out of order";
+            m_broken = "entry applied out of order";
         }
         m.applied = entry.index;
         const std::string content = std::to_string(entry.term.value()) + ':' + entry.data;
         const auto [found, fresh] = m_committed.emplace(entry.index, content);
         if (!fresh && found->second != content)
         {
-            m_broken = "two contents at index " + std::to_string(entry.index.value());
+            m_broken = "different entries applied at index " + std::to_string(entry.index.value());
         }
     }
 
@@ -310,7 +311,7 @@
             }
             if (m_now < to->second.frozen_until)
             {
-                m_queue.emplace(to->second.frozen_until, envelope); // waits in the socket
+                m_queue.emplace(to->second.frozen_until, envelope); // stays in the socket buffer
                 continue;
             }
             to->second.core->receive(envelope, local(to->second));
--- a/tests/src/unit-claims.cpp
+++ b/tests/src/unit-claims.cpp
@@ -38,11 +38,11 @@
 {
     claim_table table;
     BOOST_TEST(table.claim(now, claim(1)).code == 0);
-    BOOST_TEST(table.claim(now, claim(1)).code == 0); // the same attempt, told again
+    BOOST_TEST(table.claim(now, claim(1)).code == 0); // duplicate of the same attempt
     BOOST_TEST(table.claim(now, claim(2)).code == code(state_code::claim_held));
 }
 
-// Its holder died with it: the resend gets its final answer, and it never runs.
+// The holder crashed: a resend gets a definite answer (unknown outcome) and the request is never sent again.
 BOOST_AUTO_TEST_CASE(a_claim_held_for_too_long_is_unknown)
 {
     claim_table table;
@@ -82,7 +82,7 @@
     BOOST_TEST(table.settle(settle(1, claim_phase::completed)).code == code(state_code::not_claim_holder));
 }
 
-// The claim was delayed on its way and its attempt has given it up meanwhile.
+// The claim was delayed in the network, and its attempt released it in the meantime.
 BOOST_AUTO_TEST_CASE(a_release_that_comes_before_its_claim_holds)
 {
     claim_table table;
@@ -112,7 +112,7 @@
     BOOST_TEST(table.claim(now, claim(1, 1, now + 120'000)).code == code(state_code::key_from_future));
 }
 
-// A forgotten key is refused even if the window is made longer meanwhile.
+// An evicted key is refused even if the window is extended later.
 BOOST_AUTO_TEST_CASE(a_forgotten_key_never_runs_again)
 {
     claim_table table;
--- a/tests/src/unit-handover.cpp
+++ b/tests/src/unit-handover.cpp
@@ -6,7 +6,7 @@
 using namespace walkthread;
 using namespace walkthread::test;
 
-// Hand-over elects another leader without waiting for a timeout.
+// A leadership transfer elects another leader without waiting for the election timeout.
 BOOST_AUTO_TEST_CASE(leadership_is_handed_over)
 {
     replica_network net(3, 9, {0.0, 0.0, 0.0});
@@ -18,7 +18,8 @@
     BOOST_TEST((net.find_leader()->self() != old));
 }
 
-// A leader whose disk takes nothing hands over, and stands again only once the disk takes bytes.
+// A leader whose disk rejects writes transfers leadership and campaigns again only once the disk accepts
+// them.
 BOOST_AUTO_TEST_CASE(a_replica_that_declines_hands_over_and_does_not_lead_again_until_it_may)
 {
     for (std::uint64_t seed = 1; seed <= 10; ++seed)
--- a/tests/src/unit-leases.cpp
+++ b/tests/src/unit-leases.cpp
@@ -8,7 +8,7 @@
 
 namespace
 {
-// Short promises that grow where a quorum answers slowly.
+// A short lease that is extended when a quorum replies slowly.
 replica_settings quick_settings()
 {
     replica_settings settings;
@@ -18,11 +18,10 @@
 }
 } // namespace
 
-// A leader that was cut off from all others answered a read with configuration 89, 0.2 s after the next
-// leader, in office for 0.3 s, had acknowledged 92. It asks for longer promises while its quorum is silent,
-// 350, 525, 787 and 1,000 ms, and counted its lease by the last but one of them, which nobody had answered:
-// 0.75 s in place of 0.34 s. Its lease is counted now by what was asked for in the messages that were
-// answered.
+// A partitioned leader served a stale read 0.2 s after the next leader had acknowledged a newer version. It
+// requests longer leases while its quorum does not reply (350, 525, 787 and 1,000 ms) and computed its own
+// lease from a duration that nobody had acknowledged: 0.75 s instead of 0.34 s. Only durations requested in
+// acknowledged messages may count.
 BOOST_AUTO_TEST_CASE(a_leader_that_is_cut_off_counts_no_promise_that_nobody_gave)
 {
     for (std::uint64_t seed = 1; seed <= 60; ++seed)
--- a/tests/src/unit-newcomers.cpp
+++ b/tests/src/unit-newcomers.cpp
@@ -9,7 +9,7 @@
 
 namespace
 {
-// Replicas of one host have the same node and differ in their incarnation, one a disk.
+// Replicas of one host have the same node; each disk has its own incarnation.
 replica_id make_replica(std::uint16_t node, std::uint64_t incarnation)
 {
     return {node_id{node}, incarnation_id{incarnation}};
@@ -56,7 +56,7 @@
     BOOST_TEST((decided.add->replaces == make_replica(2, 1)));
 }
 
-// The request of a replica whose disk was lost again comes after its successor was let in.
+// The join request of a replica whose disk was lost again arrives after its successor has joined.
 BOOST_FIXTURE_TEST_CASE(a_request_that_comes_late_replaces_nobody, newcomer_fixture)
 {
     const newcomer_decision decided = judge(make_replica(2, 7));
@@ -81,7 +81,7 @@
     const newcomer_decision decided = judge(make_replica(4, 5));
     BOOST_REQUIRE(decided.add);
     BOOST_TEST(!decided.add->promote);
-    BOOST_TEST(!judge(make_replica(1, 1)).add); // a member already
+    BOOST_TEST(!judge(make_replica(1, 1)).add); // already a member
 }
 
 BOOST_FIXTURE_TEST_CASE(a_newcomer_that_never_answers_makes_room, newcomer_fixture)
--- a/tests/src/unit-power.cpp
+++ b/tests/src/unit-power.cpp
@@ -8,7 +8,8 @@
 using namespace walkthread;
 using namespace walkthread::test;
 
-// As many disks as the group bears are lost, and at the same moment every other replica loses power.
+// All replicas lose power at once, and as many disks are lost as the group tolerates. Committed entries must
+// survive.
 
 namespace
 {
@@ -21,7 +22,7 @@
     return asked == nullptr ? 150 : std::strtoull(asked, nullptr, 10);
 }
 
-// Load for a random time, so that appends, syncs and answers are on their way when the power goes.
+// Proposes entries for a random time, so that appends, fsyncs and replies are in flight at the power loss.
 void propose_for_a_while(replica_network& net)
 {
     const std::uint64_t count = 20 + net.pick(40);
@@ -38,8 +39,8 @@
     replica_id fresh;
 };
 
-// All are without power; the ones whose disks are lost come back as newcomers, the others with what they
-// synced.
+// Stops all replicas and restarts them: those with a lost disk empty and under a new incarnation, the others
+// with their durable state.
 std::vector<lost_disk> lose_power_and_disks(replica_network& net)
 {
     std::vector<replica_id> left = net.ids();
@@ -98,7 +99,8 @@
                 const std::map<log_index, std::string> before = net.committed();
                 const std::vector<lost_disk> lost = lose_power_and_disks(net);
                 repair(net, lost);
-                BOOST_REQUIRE_EQUAL(net.broken(), ""); // among it: one content an index, before and after
+                BOOST_REQUIRE_EQUAL(net.broken(),
+                                    ""); // includes the check that no index gets two different entries
                 replica* leader = net.find_leader();
                 BOOST_REQUIRE(leader != nullptr);
                 BOOST_REQUIRE(!before.empty());
--- a/tests/src/unit-replication.cpp
+++ b/tests/src/unit-replication.cpp
@@ -14,19 +14,19 @@
 namespace
 {
 #ifdef WALKTHREAD_SANITIZED
-constexpr std::uint64_t usual_seeds = 150; // the same checks, at a tenth of the speed
+constexpr std::uint64_t usual_seeds = 150; // sanitized builds run at about a tenth of the speed
 #else
 constexpr std::uint64_t usual_seeds = 1000;
 #endif
 
-// As many as asked for by hand.
+// The number of seeds, unless set by WALKTHREAD_SEEDS.
 std::uint64_t seed_count()
 {
     const char* asked = std::getenv("WALKTHREAD_SEEDS");
     return asked == nullptr ? usual_seeds : std::strtoull(asked, nullptr, 10);
 }
 
-// Short promises that grow where a quorum answers slowly.
+// A short lease that is extended when a quorum replies slowly.
 replica_settings quick_settings()
 {
     replica_settings settings;
@@ -73,14 +73,15 @@
     BOOST_TEST(net.committed().rbegin()->second.ends_with(":a"));
 }
 
-// Loss, repeats, reordering, one-way cuts, freezes and restarts, alone and together.
+// Combines message loss, duplicates, reordering, one-way link failures, freezes, restarts and leadership
+// transfers at random.
 BOOST_AUTO_TEST_CASE(safety_holds_under_faults)
 {
     const std::uint64_t seeds = seed_count();
     for (std::uint64_t seed = 1; seed <= seeds; ++seed)
     {
         replica_settings settings = seed % 4 < 2 ? quick_settings() : replica_settings{};
-        settings.append_bytes = seed % 3 == 0 ? 1 : settings.append_bytes; // then one entry a message
+        settings.append_bytes = seed % 3 == 0 ? 1 : settings.append_bytes; // one entry per message
         replica_network net(3 + 2 * (seed % 2), seed, {0.05, 0.05, 0.04}, settings);
         for (int step = 0; step < 25; ++step)
         {
@@ -90,7 +91,7 @@
             switch (net.pick(7))
             {
             case 6:
-                net.set_delay(net.pick(2) == 0 ? 60 : 300); // slow disks: answers come late
+                net.set_delay(net.pick(2) == 0 ? 60 : 300); // late replies, as with slow disks
                 break;
             case 0:
                 net.cut(a, b);
@@ -125,7 +126,7 @@
     }
 }
 
-// A follower that is behind the log gets the snapshot.
+// A follower that needs entries already compacted by the leader gets a snapshot.
 BOOST_AUTO_TEST_CASE(a_late_follower_catches_up_by_snapshot)
 {
     replica_settings settings;
@@ -145,7 +146,7 @@
     BOOST_TEST(net.core(late).log().base_index().value() > 400U);
 }
 
-// A lost disk comes back as a new member; then a second one is lost right after the repair.
+// A replica with a lost disk rejoins as a new member; a second disk is lost right after the replacement.
 BOOST_AUTO_TEST_CASE(a_second_disk_is_lost_right_after_a_repair)
 {
     for (std::uint64_t seed = 1; seed <= seed_count() / 3; ++seed)
@@ -185,7 +186,7 @@
     }
 }
 
-// An empty folder does not vote: with two of three disks lost, nothing is decided.
+// Replicas with an empty data folder do not vote: with two of three disks lost, nothing is committed.
 BOOST_AUTO_TEST_CASE(empty_folders_form_no_quorum)
 {
     replica_network net(3, 3, {});
@@ -202,7 +203,7 @@
     BOOST_TEST(net.broken() == "");
 }
 
-// A leader cut off from its quorum gives its lease up and steps down.
+// A leader without contact to its quorum steps down and another one is elected.
 BOOST_AUTO_TEST_CASE(a_cut_off_leader_steps_down)
 {
     replica_network net(3, 5, {});
@@ -220,8 +221,8 @@
     BOOST_TEST(net.broken() == "");
 }
 
-// The replicas stand one after the other, so that votes are rarely split: half a second at most, where random
-// timers above 700 ms took about a second.
+// Staggered campaigns rarely split the vote and elect a leader within half a second; randomized timeouts
+// above 700 ms took about a second.
 BOOST_AUTO_TEST_CASE(a_lost_leader_is_replaced_soon)
 {
     for (std::uint64_t seed = 1; seed <= 50; ++seed)
@@ -238,8 +239,8 @@
     }
 }
 
-// Replicas that lost power together have a leader soon after a quorum of them is back, although each waits
-// until what it may have promised is over.
+// After a power loss of all replicas, a restarted quorum elects a leader promptly, although each replica
+// first waits until a lease that it may have granted has expired.
 BOOST_AUTO_TEST_CASE(a_quorum_that_comes_back_elects_soon)
 {
     for (std::uint64_t seed = 1; seed <= 50; ++seed)
@@ -265,7 +266,7 @@
     }
 }
 
-// The replica that led last asks for votes at once when all come back: no other lease can be alive.
+// After a restart of all replicas the last leader campaigns at once, as no other replica can hold a lease.
 BOOST_AUTO_TEST_CASE(the_last_leader_comes_back_at_once)
 {
     std::size_t back = 0;
@@ -292,8 +293,8 @@
     BOOST_TEST(back >= 45U);
 }
 
-// Answers that take up to 0.4 s, as with disks 30 times slow, lengthen the promise instead of deposing the
-// leader.
+// Replies that take up to 0.4 s, as with disks 30 times slower than usual, extend the lease instead of
+// deposing the leader.
 BOOST_AUTO_TEST_CASE(slow_answers_lengthen_the_lease)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
@@ -301,7 +302,7 @@
         replica_network net(5, seed, {0.0, 0.0, 0.01, 6}, quick_settings());
         net.run(seconds(4));
         net.set_delay(200);
-        net.run(seconds(3)); // one election or two, until the promise has grown
+        net.run(seconds(3)); // one or two elections until the lease is long enough
         const std::size_t before = net.terms_led();
         net.run(seconds(20));
         BOOST_TEST_CONTEXT("seed " << seed)
@@ -314,8 +315,8 @@
     }
 }
 
-// A replica that hears nothing stands for election while the others still hear the leader; then the leader is
-// cut off and cannot hear of a new one. As long as its lease runs, nobody else may lead.
+// One replica loses contact with the leader and campaigns while the others still follow it. Then the leader
+// receives nothing any more and cannot learn of a new leader: nobody else may lead until its lease expires.
 BOOST_AUTO_TEST_CASE(nobody_leads_while_another_holds_the_lease)
 {
     for (std::uint64_t seed = 1; seed <= 10; ++seed)
@@ -369,8 +370,8 @@
 }
 } // namespace
 
-// akp-walk-grown trouble-2: the leader sent a newer snapshot while the follower was catching up; entries that
-// the follower had answered for were dropped with its log, and the leader never went back to them.
+// A snapshot that arrived while the follower was catching up replaced its log, including entries that it had
+// already acknowledged; the leader never resent those.
 BOOST_AUTO_TEST_CASE(a_snapshot_drops_nothing_that_was_answered_for)
 {
     const monotonic_time now{seconds(2)};
@@ -405,7 +406,7 @@
             }
         }
     }
-    static_cast<void>(leader.take_output(now)); // its sync never ends
+    static_cast<void>(leader.take_output(now)); // the fsync never completes
     BOOST_REQUIRE(ok(leader.propose("x", now)));
     const replica_output output = leader.take_unsynced(now);
     BOOST_TEST(output.append.empty());
@@ -420,7 +421,7 @@
         leader.receive(
             {group_id{1}, other, member_a, append_reply{leader.term(), true, leader.last_index(), 0}}, now);
     }
-    BOOST_TEST((leader.commit_index() == leader.last_index())); // two other disks of three hold it
+    BOOST_TEST((leader.commit_index() == leader.last_index())); // durable on the two followers
     BOOST_TEST(!leader.take_unsynced(now).apply.empty());
 }
 
@@ -429,7 +430,7 @@
     const monotonic_time now{seconds(2)};
     replica follower = make_member(member_b);
     follower.receive({group_id{1}, member_a, member_b, make_appends(1, 3)}, now);
-    static_cast<void>(follower.take_output(now)); // the sync of 1 to 3 is under way
+    static_cast<void>(follower.take_output(now)); // the fsync of 1 to 3 is in progress
     append_request other = make_appends(2, 3);
     other.term = term_id{2};
     for (log_entry& entry : other.entries)
@@ -437,7 +438,7 @@
         entry.term = term_id{2};
     }
     follower.receive({group_id{1}, member_c, member_b, other}, now);
-    BOOST_TEST(follower.take_unsynced(now).messages.empty()); // no reply before the new entries are synced
+    BOOST_TEST(follower.take_unsynced(now).messages.empty()); // no reply before the new entries are durable
     const replica_output output = follower.take_output(now);
     BOOST_TEST(output.append.size() == 2U);
 }
@@ -457,7 +458,7 @@
     const replica_id fresh = net.lose_disk(lost);
     BOOST_REQUIRE(ok(leader->add_learner(learner{fresh, false, {}}, net.local_time(leader->self()))));
     net.run(seconds(2));
-    BOOST_TEST(!leader->members().is_voter(fresh)); // a standby
+    BOOST_TEST(!leader->members().is_voter(fresh)); // stays a standby
     BOOST_REQUIRE(ok(leader->add_learner(learner{fresh, true, lost}, net.local_time(leader->self()))));
     net.run(seconds(2));
     BOOST_TEST(leader->members().is_voter(fresh));
@@ -465,8 +466,8 @@
     BOOST_REQUIRE_EQUAL(net.broken(), "");
 }
 
-// A new leader answered a worker before it had applied the entry that had started the worker's tasks, and
-// ordered their stop.
+// A new leader replied to a worker before it had applied the entry that placed the worker's tasks, and
+// ordered the worker to stop them.
 BOOST_AUTO_TEST_CASE(a_leader_does_not_lead_before_its_state_has_what_was_committed)
 {
     const replica_id self{node_id{1}, incarnation_id{1}};
--- a/tests/src/unit-storage.cpp
+++ b/tests/src/unit-storage.cpp
@@ -16,7 +16,7 @@
 {
 constexpr group_id group{1};
 
-// A folder that is gone when the test ends.
+// A temporary folder that is removed when the test ends.
 struct scratch_folder
 {
     scratch_folder()
@@ -102,7 +102,7 @@
     BOOST_TEST(found.entries.back().term.value() == 2U);
 }
 
-// A crash may cut the newest write at any byte; what was synced before it stays.
+// A crash may truncate the last write at any byte; earlier records must remain.
 BOOST_AUTO_TEST_CASE(a_torn_tail_is_cut_at_every_byte)
 {
     const scratch_folder scratch;
@@ -178,7 +178,7 @@
     BOOST_TEST(!std::filesystem::exists(log_path(scratch)));
 }
 
-// A disk that takes no more: this process's own bound on file sizes stands in for it.
+// A file size limit of the process simulates a full disk.
 BOOST_AUTO_TEST_CASE(a_full_disk_is_an_error)
 {
     const scratch_folder scratch;
@@ -197,10 +197,9 @@
     BOOST_TEST(open_good(scratch.path)->start_of(group).entries.size() == 100U);
 }
 
-// What happened: a leader of 1,100 workers had no descriptor left when its snapshot was due, and ended,
-// although its log was open and others needed its copy. Why: a file that could not be opened ended the
-// process, whatever the reason. What settled it: a shortage that passes is a refusal, which is tried again;
-// what is open goes on being written.
+// A leader of 1,100 workers had no file descriptor left for its snapshot and terminated, because every failed
+// open was fatal, although its open log was still writable. A transient lack of resources must be reported as
+// cannot_write, which is retried, and the log must remain usable.
 BOOST_AUTO_TEST_CASE(a_shortage_of_descriptors_refuses_a_snapshot_and_loses_nothing)
 {
     const scratch_folder scratch;
@@ -209,7 +208,7 @@
         write(*folder, entries(1, 5, 1));
         rlimit before{};
         BOOST_REQUIRE(::getrlimit(RLIMIT_NOFILE, &before) == 0);
-        const int next = ::dup(0); // descriptors below this one are taken
+        const int next = ::dup(0); // all descriptors below this one are in use
         BOOST_REQUIRE(next >= 0);
         ::close(next);
         const rlimit none{static_cast<rlim_t>(next), before.rlim_max};
