--- a/include/walkthread/replication/newcomers.hpp
+++ b/include/walkthread/replication/newcomers.hpp
@@ -20,12 +20,12 @@
 /// @brief Limits for join requests and for learners.
 struct newcomer_settings
 {
-    std::size_t wanted_voters = 3;        ///< with fewer voters, a joining replica is promoted once caught up
-    duration present = milliseconds(400); ///< a member with a reply within this time is live; four
-                                          ///< heartbeats
-    duration forgotten = seconds(10);     ///< a learner without replies for this long is removed; above
-                                          ///< the few seconds that loading a snapshot takes on a small
-                                          ///< host under load
+    std::size_t wanted_voters = 3; ///< with fewer voters, a joining replica is promoted once caught up
+    duration live_window = milliseconds(400); ///< a member with a reply within this time is live; four
+                                              ///< heartbeats
+    duration forgotten = seconds(10);         ///< a learner without replies for this long is removed; above
+                                              ///< the few seconds that loading a snapshot takes on a small
+                                              ///< host under load
 };
 
 /// @brief Queries about replicas that the membership does not answer.
--- a/src/replication/newcomers.cpp
+++ b/src/replication/newcomers.cpp
@@ -9,7 +9,7 @@
                 monotonic_time now)
 {
     const auto heard = hooks.last_heard(member);
-    return heard && now - *heard < settings.present;
+    return heard && now - *heard < settings.live_window;
 }
 } // namespace
 
--- a/tests/src/unit-newcomers.cpp
+++ b/tests/src/unit-newcomers.cpp
@@ -1,4 +1,4 @@
-#define BOOST_TEST_MODULE newcomers
+#define BOOST_TEST_MODULE join_policy
 #include <boost/test/unit_test.hpp>
 
 #include <map>
--- a/tests/src/unit-power.cpp
+++ b/tests/src/unit-power.cpp
@@ -1,4 +1,4 @@
-#define BOOST_TEST_MODULE power
+#define BOOST_TEST_MODULE power_loss
 #include <boost/test/unit_test.hpp>
 
 #include <cstdlib>
