--- a/include/walkthread/replication/newcomers.hpp
+++ b/include/walkthread/replication/newcomers.hpp
@@ -42,7 +42,7 @@
 {
     std::optional<learner> add;
     std::optional<replica_id> remove;  ///< an earlier learner of the same host, whose disk is lost
-    std::optional<replica_id> present; ///< another live replica of the same host: the request is outdated
+    std::optional<replica_id> present; ///< live replica of the same host: the request is outdated
 };
 
 /// @brief Decides on a join request. Complexity: linear in the members.
--- a/include/walkthread/state/claims.hpp
+++ b/include/walkthread/state/claims.hpp
@@ -105,7 +105,7 @@
 
     std::map<claim_key, record> m_claims;
     std::multimap<wall_ms, claim_key> m_by_time;
-    wall_ms m_floor = 0; ///< unknown keys with this creation time or an earlier one are refused as expired
+    wall_ms m_floor = 0; ///< unknown keys with a creation time up to this one are refused as expired
 
   public:
     MSGPACK_DEFINE(m_claims, m_by_time, m_floor)
--- a/src/replication/replica_log.cpp
+++ b/src/replication/replica_log.cpp
@@ -11,14 +11,14 @@
 
 namespace
 {
-constexpr int heartbeats_for_entries =
-    3; // a large batch is resent after this many heartbeats without a reply
-constexpr std::size_t cheap_to_repeat =
-    64U << 10U; // batches up to this size are cheap enough to resend with each heartbeat
-constexpr duration snapshot_patience =
-    seconds(3); // sending and loading some megabytes on a small host under load
-constexpr std::uint64_t promotion_lag =
-    512; // entries of half a second at peak load, when a follower never fully catches up
+// A large batch is resent after this many heartbeats without a reply.
+constexpr int heartbeats_for_entries = 3;
+// Batches up to this size are cheap enough to resend with each heartbeat.
+constexpr std::size_t cheap_to_repeat = 64U << 10U;
+// Allows for sending and loading some megabytes on a small host under load.
+constexpr duration snapshot_patience = seconds(3);
+// Entries of half a second at peak load, when a follower never fully catches up.
+constexpr std::uint64_t promotion_lag = 512;
 
 log_index after(log_index index)
 {
@@ -76,7 +76,8 @@
         {
             m_log.truncate_from(entry.index);
             m_synced = std::min(m_synced, m_log.last_index());
-            m_taken = std::min(m_taken, m_log.last_index()); // the replacing entries have not been output yet
+            // The replacing entries have not been output yet.
+            m_taken = std::min(m_taken, m_log.last_index());
             std::erase_if(m_output.append,
                           [&entry](const log_entry& e)
                           {
