--- a/bench/bench_decisions.cpp
+++ b/bench/bench_decisions.cpp
@@ -1,4 +1,4 @@
-// Cost of decisions at today's size and at the design size. Counters are per placement.
+// Cost of scheduling decisions for halls of different sizes.
 
 #include <benchmark/benchmark.h>
 
@@ -30,7 +30,7 @@
     return settings;
 }
 
-// Plans a job's tasks and takes them back, with many other jobs waiting for room that does not come.
+// Plans the tasks of a job and cancels them again, while many other jobs wait that never fit.
 void place(benchmark::State& bench, workload_kind kind)
 {
     const auto workers = static_cast<std::uint32_t>(bench.range(0));
@@ -78,7 +78,7 @@
     place(bench, workload_kind::service);
 }
 
-// One small task comes to a hall in which ten thousand others wait.
+// Plans one small task in a hall in which ten thousand other tasks wait.
 void single_decision(benchmark::State& bench)
 {
     const auto workers = static_cast<std::uint32_t>(bench.range(0));
@@ -107,7 +107,7 @@
     bench.counters["p99_ms"] = times[times.size() * 99 / 100];
 }
 
-// Applying a batch of placements to the state, as every replica does.
+// Applies a batch of placements to the state, as every replica does.
 void apply_placements(benchmark::State& bench)
 {
     hall_fixture hall;
--- a/include/walkthread/policy/hall_choice.hpp
+++ b/include/walkthread/policy/hall_choice.hpp
@@ -1,7 +1,8 @@
 #pragma once
 
 /// @file
-/// @brief Which halls run a job. The root leader decides, from lagging summaries of the halls.
+/// @brief Selects the halls that run a job. The root leader decides from possibly outdated summaries of the
+/// halls.
 /// @since 0.1
 
 #include <map>
@@ -13,21 +14,22 @@
 namespace walkthread
 {
 
-/// @brief How full a hall is, as last told by its leader.
+/// @brief Load of a hall as last reported by its leader.
 /// @since 0.1
 struct hall_load
 {
     resources capacity{};
     resources reserved{};
-    resources largest{}; ///< largest host, dimension by dimension
-    resources planned{}; ///< given to the hall since its last summary
+    resources largest{}; ///< largest host size, separately for each dimension
+    resources planned{}; ///< assigned to the hall since its last summary
 };
 
 /// @brief Chooses halls for a job.
 ///
-/// A service is spread evenly over the halls that it may use; batch work and gangs go whole to the hall that
-/// is least full afterwards.
-/// @param halls every hall of the cell; halls that told nothing yet are taken last
+/// A service is spread evenly over the halls that it may use. All tasks of a batch job or a gang go to the
+/// hall that has the lowest utilisation afterwards.
+/// @param halls all halls of the cell; halls that have not reported yet are used only if none has
+/// @param values parameters of the job
 /// @return the parts, or state_code::never_runnable if every hall is known and none has a large enough host
 /// Complexity: linear in the halls.
 [[nodiscard]] result<std::vector<hall_part>, state_error>
--- a/include/walkthread/policy/host_pool.hpp
+++ b/include/walkthread/policy/host_pool.hpp
@@ -1,8 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief The hosts of a hall by what they have free, so that a placement looks at a few and not at all of
-/// them.
+/// @brief Index of the hosts of a hall by free resources, so that a placement examines only a few hosts.
 /// @since 0.1
 
 #include <array>
@@ -18,7 +17,7 @@
 namespace walkthread
 {
 
-/// @brief A host as the policy sees it, with what the present plan already took.
+/// @brief A host as seen by the policy, including the resources that the current plan has taken.
 /// @since 0.1
 struct host_view
 {
@@ -27,10 +26,10 @@
     rack_id rack{};
     resources size{};
     resources free{};
-    bool set_aside{}; ///< kept out of the index, for a gang or for a job that failed there
+    bool set_aside{}; ///< excluded from the index: reserved for a gang, or the current job failed there
 };
 
-/// @brief A position in the pool; stays valid while the pool lives.
+/// @brief Position of a host in the pool; valid for the lifetime of the pool.
 using host_slot = std::size_t;
 
 /// @brief All hosts of a hall, indexed by free accelerators, cores and memory.
@@ -38,22 +37,23 @@
 class host_pool
 {
   public:
-    /// @brief Takes a worker's present state. Complexity: logarithmic in the hosts.
-    /// @return whether it now has more free than before in some dimension
+    /// @brief Updates a host from its worker's state. Complexity: logarithmic in the hosts.
+    /// @return whether it has more free resources than before in any dimension
     bool update(const worker_record& worker);
-    /// @brief Takes resources of a host for the present plan. Complexity: logarithmic.
+    /// @brief Takes resources of a host for the current plan. Complexity: logarithmic.
     void take(host_slot slot, const resources& amount);
-    /// @brief Gives back what `take` took.
+    /// @brief Releases resources taken by `take`.
     void give_back(host_slot slot, const resources& amount);
-    /// @brief Takes a host out of the index, or puts it back. Complexity: logarithmic.
+    /// @brief Excludes a host from the index, or includes it again. Complexity: logarithmic.
     void set_aside(host_slot slot, bool reserved);
 
-    /// @brief The host with the least free that fits: packs. Complexity: logarithmic; looks at a bounded
-    /// number.
+    /// @brief The fitting host with the least free resources, so that tasks are packed. Complexity:
+    /// logarithmic; examines a bounded number of hosts.
     [[nodiscard]] std::optional<host_slot> best_fit(const resources& need);
-    /// @brief The first host that fits, in order of arrival. Complexity: linear. A baseline.
+    /// @brief The first fitting host in order of registration; a baseline for comparisons. Complexity:
+    /// linear.
     [[nodiscard]] std::optional<host_slot> first_fit(const resources& need);
-    /// @brief A random host among those that fit, by probing. A baseline.
+    /// @brief A fitting host found by probing random hosts; a baseline for comparisons.
     [[nodiscard]] std::optional<host_slot> random_fit(const resources& need, std::mt19937_64& random);
 
     [[nodiscard]] const host_view& at(host_slot slot) const
@@ -70,17 +70,17 @@
     {
         return m_racks.size();
     }
-    /// @brief Hosts of the rack at a position below `racks()`.
+    /// @brief Hosts of the rack at a position, which must be below `racks()`.
     [[nodiscard]] const std::vector<host_slot>& rack_at(std::size_t position) const
     {
         return m_racks[position];
     }
-    /// @brief Hosts looked at since the pool was made, over all decisions.
+    /// @brief Number of hosts examined since the pool was created, over all decisions.
     [[nodiscard]] std::uint64_t looked_at() const
     {
         return m_looked_at;
     }
-    /// @brief Counts hosts that a caller looked at by itself.
+    /// @brief Adds hosts that a caller examined without a search of the pool.
     void count_looks(std::uint64_t hosts)
     {
         m_looked_at += hosts;
@@ -117,7 +117,7 @@
     std::unordered_map<rack_id, std::size_t> m_rack_position;
     std::vector<std::vector<host_slot>> m_racks;
     std::array<std::array<bucket, cpu_levels>, accelerator_levels> m_buckets;
-    std::array<std::uint64_t, accelerator_levels> m_filled{}; ///< one bit for each cpu level that has hosts
+    std::array<std::uint64_t, accelerator_levels> m_filled{}; ///< bit set of the cpu levels that have hosts
     std::uint64_t m_looked_at = 0;
 };
 
--- a/include/walkthread/policy/job_queue.hpp
+++ b/include/walkthread/policy/job_queue.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Jobs that wait for hosts, by urgency, by their organisation's share, and by age.
+/// @brief Jobs that wait for hosts, ordered by organisation, level and age.
 /// @since 0.1
 
 #include <array>
@@ -19,20 +19,20 @@
 /// @brief Why a job waits, as `walkthreadctl explain` prints it.
 enum class wait_reason : std::uint8_t
 {
-    none = 0,          ///< it was not looked at yet
-    no_room = 1,       ///< no host has enough free
-    too_large = 2,     ///< no host of the hall is large enough, even when empty
-    quota = 3,         ///< its team's grant in this hall is used up
-    held = 4,          ///< it failed on several hosts
-    gang_reserved = 5, ///< hosts are being kept free for the whole gang
-    preempting = 6,    ///< less urgent work is being stopped for it
-    behind = 7,        ///< earlier work in the order blocks it
+    none = 0,          ///< not examined yet
+    no_room = 1,       ///< no host has enough free resources
+    too_large = 2,     ///< larger than every host of the hall
+    quota = 3,         ///< the team's quota in this hall is used up
+    held = 4,          ///< on hold after failures on several hosts
+    gang_reserved = 5, ///< hosts are reserved until the whole gang fits
+    preempting = 6,    ///< other tasks are being stopped for it
+    behind = 7,        ///< blocked by jobs that come first in the queue order
 };
 
-/// @brief A sentence for a reason.
+/// @brief Description of a reason as a sentence.
 [[nodiscard]] const char* to_string(wait_reason reason);
 
-/// @brief A waiting job, in the order in which it is looked at.
+/// @brief Sort key of a waiting job within its level.
 /// @since 0.1
 struct queue_key
 {
@@ -41,13 +41,13 @@
     friend auto operator<=>(const queue_key&, const queue_key&) = default;
 };
 
-/// @brief What the queue knows of a job.
+/// @brief Queue entry of a job.
 /// @since 0.1
 struct queue_item
 {
     organisation_id organisation{};
-    std::uint8_t urgency{}; ///< as asked for
-    std::uint8_t level{};   ///< after ageing
+    std::uint8_t urgency{}; ///< as requested
+    std::uint8_t level{};   ///< urgency raised by ageing
     wall_ms submitted{};
     wait_reason reason{};
 };
@@ -60,12 +60,13 @@
     static constexpr std::size_t levels = max_urgency + 1;
     using level_set = std::set<queue_key>;
 
-    /// @brief Adds a job, or does nothing if it is there. Complexity: logarithmic.
+    /// @brief Adds a job; has no effect if it is queued already. Complexity: logarithmic.
     void add(job_id job, queue_item item);
-    /// @brief Takes a job out. Complexity: logarithmic.
+    /// @brief Removes a job. Complexity: logarithmic.
     void remove(job_id job);
-    /// @brief Moves jobs that have waited long up one level, below urgent. Complexity: by the jobs moved.
-    /// @param step waiting time for each level
+    /// @brief Raises jobs that have waited long by one level, never to urgent. Complexity: proportional to
+    /// the jobs raised.
+    /// @param step waiting time per level
     void age(wall_ms now, wall_ms step);
 
     [[nodiscard]] bool contains(job_id job) const
@@ -79,7 +80,7 @@
     }
     /// @brief Jobs of an organisation at a level, oldest first.
     [[nodiscard]] const level_set& jobs_of(organisation_id organisation, std::size_t level);
-    /// @brief Organisations that ever had a job here.
+    /// @brief Organisations that have had a job in this queue.
     [[nodiscard]] const std::vector<organisation_id>& organisations() const
     {
         return m_organisations;
--- a/include/walkthread/policy/lease_table.hpp
+++ b/include/walkthread/policy/lease_table.hpp
@@ -1,11 +1,12 @@
 #pragma once
 
 /// @file
-/// @brief Leases of workers, as the hall's leader counts them.
+/// @brief Worker leases as tracked by the hall's leader.
 ///
-/// A worker counts its lease from when it asked, the leader from when it answered, and both count durations
-/// only. So a lease is surely over here later than at the worker, however late an answer travels. A new
-/// leader does not know what the old one answered and waits out one whole lease.
+/// A worker measures its lease from when it sent the renewal request, the leader from when it answered, and
+/// both measure only durations. A lease therefore expires at the leader later than at the worker, however
+/// long the answer takes. A new leader does not know which leases its predecessor granted, so it waits for
+/// one whole lease duration.
 /// @since 0.1
 
 #include <set>
@@ -23,19 +24,19 @@
 class lease_table
 {
   public:
-    /// @param lease the span granted to workers
-    /// @param drift the largest relative difference of two clocks' speeds
+    /// @param lease lease duration granted to workers
+    /// @param drift maximum relative clock rate error
     lease_table(duration lease, double drift);
 
-    /// @brief Starts anew, as a new leader: every worker may hold a lease granted up to now.
+    /// @brief Resets the table on a new leader: every worker may hold a lease granted up to now.
     void reset(const std::vector<worker_id>& workers, monotonic_time now);
-    /// @brief Notes an answer to a renewal. Complexity: constant.
+    /// @brief Notes that a lease was granted or renewed. Complexity: constant.
     void granted(worker_id worker, monotonic_time now);
-    /// @brief Whether a worker may be granted a lease: not while its loss is being recorded.
+    /// @brief Whether a worker may be granted a lease. False while its loss is being recorded.
     [[nodiscard]] bool may_grant(worker_id worker) const;
-    /// @brief Workers whose lease is surely over. They get no grant until `forget`. Complexity: linear.
+    /// @brief Workers whose lease has newly expired. They get no lease until `forget`. Complexity: linear.
     [[nodiscard]] std::vector<worker_id> expire(monotonic_time now);
-    /// @brief Drops a worker: its loss is recorded, or it registers anew.
+    /// @brief Removes a worker, once its loss is recorded or it has registered again.
     void forget(worker_id worker);
 
   private:
--- a/include/walkthread/policy/scheduler.hpp
+++ b/include/walkthread/policy/scheduler.hpp
@@ -1,11 +1,11 @@
 #pragma once
 
 /// @file
-/// @brief Decides which waiting task starts on which host of a hall, and what has to stop for it.
+/// @brief Decides which waiting task starts on which host of a hall, and which tasks are preempted for it.
 ///
-/// Order: urgency, then the organisation furthest under its share, then age. Services spread over racks,
-/// batch work packs, gangs start whole or not at all. The scheduler only proposes: the hall's state checks
-/// each placement again when it is applied.
+/// Order: urgent jobs first, then the organisation furthest below its share, then level and age. Services are
+/// spread over racks, batch tasks are packed, and all tasks of a gang start together or none does. The
+/// scheduler only proposes: the hall's state checks each placement again when it is applied.
 /// @since 0.1
 
 #include <cstdint>
@@ -24,34 +24,34 @@
 namespace walkthread
 {
 
-/// @brief Picks a host for one task of batch or gang work.
+/// @brief Selects a host for one task of a batch job or a gang.
 using host_choice = std::function<std::optional<host_slot>(host_pool&, const resources&)>;
 
-/// @brief What can be tuned, or switched off to measure what it is worth.
+/// @brief Tuning parameters, and switches that disable a mechanism to measure its effect.
 /// @since 0.1
 struct scheduler_settings
 {
-    bool by_urgency = true;        ///< off: urgency does not count
-    bool fair = true;              ///< off: organisations in order of age only
-    bool skip_blocked = true;      ///< off: the first job that does not fit blocks all behind it
-    bool spread_services = true;   ///< off: services pack like batch work
-    bool reserve_for_gangs = true; ///< off: a gang waits until it fits by chance
-    bool backfill = true;          ///< off: hosts kept for a gang stay idle
-    bool learn_run_times = true;   ///< off: declared run times are believed
-    bool preempt = true;           ///< off: nothing is stopped for urgent work
-    bool reclaim = true;           ///< off: nothing is stopped for an organisation under its share
-    wall_ms ageing_step = 300'000; ///< waiting time that raises a job by one level, below urgent
+    bool by_urgency = true;        ///< off: urgency is ignored
+    bool fair = true;              ///< off: shares of organisations are ignored
+    bool skip_blocked = true;      ///< off: the first job that does not fit blocks all jobs after it
+    bool spread_services = true;   ///< off: services are packed like batch tasks
+    bool reserve_for_gangs = true; ///< off: a gang waits until enough hosts happen to be free
+    bool backfill = true;          ///< off: hosts reserved for a gang stay idle
+    bool learn_run_times = true;   ///< off: declared run times are used
+    bool preempt = true;           ///< off: no tasks are stopped for other work
+    bool reclaim = true;           ///< off: no tasks are stopped for an organisation below its share
+    wall_ms ageing_step = 300'000; ///< waiting time that raises a job by one level, never to urgent
     wall_ms reclaim_after =
-        30'000;              ///< waiting time after which an organisation under its share takes it back
+        30'000;              ///< waiting time after which an organisation below its share reclaims resources
     host_choice choose_host; ///< empty for best fit
-    std::map<organisation_id, double> weights; ///< share of each organisation; equal where missing
+    std::map<organisation_id, double> weights; ///< weight of each organisation; 1 where missing
     std::map<team_id, resources> grants;       ///< quota of each team in this hall; unlimited where missing
 };
 
-/// @brief The settings of the baseline: first fit, first come first served.
+/// @brief Settings of the baseline policy: first fit, in order of submission.
 [[nodiscard]] scheduler_settings first_fit_fifo();
 
-/// @brief What to propose to the hall's group.
+/// @brief Result of a planning pass, to be proposed to the hall's group.
 /// @since 0.1
 struct schedule
 {
@@ -63,7 +63,7 @@
     }
 };
 
-/// @brief Work that the scheduler has done, for bounds that do not depend on a machine's speed.
+/// @brief Counters of the scheduler's work, for cost limits that are independent of the machine's speed.
 /// @since 0.1
 struct scheduler_counters
 {
@@ -73,27 +73,29 @@
     std::uint64_t plans = 0;
 };
 
-/// @brief The scheduler of one hall. Lives with the hall's leader and is rebuilt from the state at any time.
+/// @brief The scheduler of one hall. Runs on the hall's leader and can be rebuilt from the state at any time.
 /// @since 0.1
 class scheduler
 {
   public:
     explicit scheduler(scheduler_settings settings, std::uint64_t seed = 1);
 
-    /// @brief Takes the whole state, after becoming leader. Complexity: linear in the state.
+    /// @brief Rebuilds the scheduler from the whole state, after becoming leader. Complexity: linear in the
+    /// state.
     void reset(const hall_state& state);
-    /// @brief Takes what changed. Complexity: logarithmic for each change.
+    /// @brief Applies changes of the state. Complexity: logarithmic for each change.
     void take(const hall_changes& changes, const hall_state& state);
-    /// @brief Plans. The plan must be applied, or the scheduler reset, before the next one.
-    /// @param now wall time, on the same line as the entries' times
-    /// @param limit the most placements in one plan
+    /// @brief Plans placements and preemptions. The plan must be applied, or the scheduler reset, before the
+    /// next call.
+    /// @param now wall time of the same clock as the times of log entries
+    /// @param limit maximum placements in the plan
     [[nodiscard]] schedule plan(const hall_state& state, wall_ms now, std::size_t limit);
 
-    /// @brief Replaces weights and grants, after a change of configuration.
+    /// @brief Replaces the quotas of the teams after a change of configuration.
     void set_grants(std::map<team_id, resources> grants);
-    /// @brief Why a job waits; no value if it does not wait here.
+    /// @brief Why a job waits; no value if it is not queued.
     [[nodiscard]] std::optional<wait_reason> reason_of(job_id job);
-    /// @brief Jobs that wait.
+    /// @brief Number of waiting jobs.
     [[nodiscard]] std::size_t waiting() const
     {
         return m_queue.size();
@@ -106,7 +108,7 @@
     {
         return m_pool.looked_at();
     }
-    /// @brief The largest task size that any host could run when empty.
+    /// @brief Whether a task of this size fits within the largest host size in each dimension.
     [[nodiscard]] bool could_ever_run(const resources& size) const;
 
   private:
@@ -114,7 +116,7 @@
     {
         job_id job{};
         std::vector<host_slot> hosts;
-        wall_ms start{}; ///< when the gang is expected to start
+        wall_ms start{}; ///< expected start of the gang
     };
     struct cursor
     {
@@ -131,8 +133,8 @@
         schedule out;
         std::map<organisation_id, resources> used;
         std::map<team_id, resources> team_used;
-        std::map<organisation_id, resources> stopped;         ///< victims' sizes in this plan
-        std::unordered_map<job_id, std::uint32_t> next_index; ///< first task not looked at yet
+        std::map<organisation_id, resources> stopped;         ///< sizes of the victims in this plan
+        std::unordered_map<job_id, std::uint32_t> next_index; ///< first task not examined yet
         std::uint32_t preemption_tries{};
     };
 
@@ -142,7 +144,7 @@
     [[nodiscard]] cursor* choose(std::vector<cursor>& cursors, const plan_state& p);
     wait_reason try_job(const hall_job& job, plan_state& p);
 
-    // Ways to place, in scheduler_place.cpp.
+    // Placement, in scheduler_place.cpp.
     struct spread_counts
     {
         std::map<rack_id, std::uint32_t> racks;
@@ -190,7 +192,7 @@
     [[nodiscard]] double share_of(organisation_id organisation, const plan_state& p) const;
     [[nodiscard]] resources used_by(organisation_id organisation, const plan_state& p) const;
     [[nodiscard]] bool within_grant(const hall_job& job, const plan_state& p) const;
-    /// Sizes that found no host since something was last freed.
+    /// Task sizes for which no host was found since resources were last freed.
     class blocked_sizes
     {
       public:
@@ -211,8 +213,8 @@
     host_pool m_pool;
     job_queue m_queue;
     blocked_sizes m_blocked;          ///< among all hosts
-    blocked_sizes m_reserved_blocked; ///< among the hosts kept for a gang
-    wall_ms m_next_reclaim = 0;       ///< when to look again for work to stop for a share
+    blocked_sizes m_reserved_blocked; ///< among the hosts reserved for a gang
+    wall_ms m_next_reclaim = 0; ///< earliest time of the next search for tasks to stop to reclaim a share
     std::optional<reservation> m_reservation;
     std::unordered_map<job_id, preemption_try> m_preempting;
     std::size_t m_rack_cursor = 0;
--- a/include/walkthread/policy/usage_guard.hpp
+++ b/include/walkthread/policy/usage_guard.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief What happens to runs that use more than they declared: throttled first, stopped when that does not
+/// @brief Enforces declared task sizes: runs that use more are throttled first and stopped if that does not
 /// help.
 /// @since 0.1
 
@@ -14,7 +14,7 @@
 namespace walkthread
 {
 
-/// @brief What to do with a run.
+/// @brief Action to take on a run.
 enum class usage_verdict : std::uint8_t
 {
     fine = 0,
@@ -22,23 +22,23 @@
     stop = 2,
 };
 
-/// @brief Follows the lagging usage reports of one hall's runs.
+/// @brief Tracks the usage reports of one hall's runs.
 /// @since 0.1
 class usage_guard
 {
   public:
-    /// @brief Part above the declared size that is let pass: reports lag and jump.
+    /// @brief Tolerated excess as a part of the declared size, since reports are delayed and noisy.
     static constexpr double tolerance = 0.10;
-    /// @brief Reports over the size in a row before a run is throttled.
+    /// @brief Consecutive reports above the declared size before a run is throttled.
     static constexpr int throttle_after = 2;
-    /// @brief Time over the size, although throttled, before a run is stopped. Memory cannot be throttled, so
-    /// a run over its memory is stopped after this time too.
+    /// @brief Time above the declared size, despite throttling, before a run is stopped. Memory cannot be
+    /// throttled, so a run above its memory size is also stopped after this time.
     static constexpr duration stop_after = seconds(30);
 
-    /// @brief Takes one report. Complexity: constant.
+    /// @brief Evaluates one usage report. Complexity: constant.
     [[nodiscard]] usage_verdict judge(const run_id& run, const resources& declared, std::int64_t cpu,
                                       std::int64_t memory, monotonic_time now);
-    /// @brief Drops a task's history, when its run ended.
+    /// @brief Drops the history of a task, once its run has ended.
     void forget(const task_id& task);
 
   private:
--- a/include/walkthread/workload/caller_access.hpp
+++ b/include/walkthread/workload/caller_access.hpp
@@ -1,11 +1,10 @@
 #pragma once
 
 /// @file
-/// @brief Who may call: decides from a call's key, its queue, and whose submission it is about.
+/// @brief Access control for calls: by API key, by queue, and by the owner of the submission.
 ///
-/// Decided where the newest configuration is held, at the leader: a key that was added counts from its
-/// commit on, and one that was dropped is refused from its commit on. A process that does not lead refuses
-/// no key.
+/// Only the leader decides, since it has the newest configuration: an added key is accepted, and a removed
+/// one rejected, as soon as the change is committed. Other processes reject no key.
 /// @since 0.6
 
 #include <cstdint>
@@ -17,36 +16,36 @@
 namespace walkthread
 {
 
-/// @brief What came of looking at a call.
+/// @brief Result of the access check.
 enum class access_verdict : std::uint8_t
 {
     allowed,
-    no_configuration, ///< nothing is known yet: come back
-    no_queue,         ///< the configuration has no queue at this host and path
-    no_key,           ///< the queue wants a key and the call has none
-    unknown_key,      ///< no organisation holds this key
+    no_configuration, ///< no configuration yet; the caller may retry
+    no_queue,         ///< no queue matches this host and path
+    no_key,           ///< the queue requires a key and the call has none
+    unknown_key,      ///< the key belongs to no organisation
 };
 
-/// @brief A call that was looked at.
+/// @brief Outcome of the access check for one call.
 /// @since 0.6
 struct access_decision
 {
     access_verdict verdict{};
-    const queue_spec* queue{}; ///< where allowed
-    std::string organisation;  ///< whose call it is; empty for nobody's, on a public queue
+    const queue_spec* queue{}; ///< the matching queue; null if there is none
+    std::string organisation;  ///< of the caller; empty for calls without a key
     [[nodiscard]] bool allowed() const
     {
         return verdict == access_verdict::allowed;
     }
 };
 
-/// @brief Decides whether a call may be answered. Complexity: linear in the queues.
-/// @param key empty for none
+/// @brief Decides whether a call is allowed. Complexity: linear in the queues.
+/// @param key API key of the call; empty for none
 [[nodiscard]] access_decision decide_access(const workload_state& state, std::string_view host,
                                             std::string_view path, std::string_view key);
 
-/// @brief The submission that an allowed call is about; null if there is none for this caller. What another
-/// organisation has looks like what nobody has.
+/// @brief The submission that an allowed call refers to; null if this caller may not see one. A submission of
+/// another organisation is treated like one that does not exist.
 [[nodiscard]] const submission* find_for_caller(const workload_state& state, const access_decision& caller,
                                                 submission_id id);
 
--- a/include/walkthread/workload/catalogue.hpp
+++ b/include/walkthread/workload/catalogue.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief The operators' configuration: queues, pools of hosts, organisations, and limits for callers.
+/// @brief The operators' configuration: queues, host pools, organisations, and limits for callers.
 /// @since 0.2
 
 #include <cstdint>
@@ -17,45 +17,46 @@
 namespace walkthread
 {
 
-/// @brief What a queue's placement policy costs to ask. See `dispatch/advice_book.hpp`.
+/// @brief Cost of querying a queue's placement advisor and validity of its advice. See
+/// `dispatch/advice_cache.hpp`.
 struct advice_terms
 {
-    double decision_ms{};       ///< for one question
-    double each_ms{};           ///< besides, for each worker asked about
-    std::int64_t validity_ms{}; ///< how long an answer's tickets count
+    double decision_ms{};       ///< fixed time for one question
+    double each_ms{};           ///< additional time for each worker in the question
+    std::int64_t validity_ms{}; ///< how long the tickets of an answer are valid
     friend bool operator==(const advice_terms&, const advice_terms&) = default;
     MSGPACK_DEFINE(decision_ms, each_ms, validity_ms)
 };
 
-/// @brief One queue, as callers address it.
+/// @brief One queue, addressed by host and path prefix.
 struct queue_spec
 {
     std::string name;
     std::string host;
     std::string path_prefix;
     std::int64_t timeout_ms{};
-    std::int64_t target_latency_ms{}; ///< the part of the objective that does not grow with the work
-    double stretch{1.0};              ///< the part that does: times the longest chain of run times
+    std::int64_t target_latency_ms{}; ///< constant part of the latency objective
+    double stretch{1.0};              ///< factor on the run time of the longest dependency chain, added to it
     std::int32_t priority{};          ///< 0 is the most urgent
     std::string pool;
     std::uint32_t max_attempts{1};
     bool advised{};
     advice_terms advice{};
-    bool open{}; ///< callers need no key
+    bool open{}; ///< callers need no API key
     MSGPACK_DEFINE(name, host, path_prefix, timeout_ms, target_latency_ms, stretch, priority, pool,
                    max_attempts, advised, advice, open)
 };
 
-/// @brief One pool of hosts.
+/// @brief One host pool.
 struct pool_spec
 {
     std::string name;
     bool rejects_overload{};
-    bool spare{}; ///< its hosts are off
+    bool spare{}; ///< its hosts are powered off
     MSGPACK_DEFINE(name, rejects_overload, spare)
 };
 
-/// @brief A whole configuration of one version.
+/// @brief One complete version of the configuration.
 /// @since 0.2
 struct catalogue
 {
@@ -63,22 +64,22 @@
     std::vector<queue_spec> queues;
     std::vector<pool_spec> pools;
     std::int64_t max_body_bytes{};
-    std::string source; ///< the operator's document, given back as it came
+    std::string source; ///< the operator's document, returned verbatim
     std::vector<organisation_spec> organisations;
-    bool guarded{}; ///< callers need keys of organisations, but for open queues
+    bool guarded{}; ///< callers need an organisation's API key, except on open queues
     MSGPACK_DEFINE(version, queues, pools, max_body_bytes, source, organisations, guarded)
 };
 
-/// @brief What is wrong with a configuration; no value if nothing is.
+/// @brief Describes the first error in a configuration; no value if it is valid.
 /// Complexity: n log n in the queues.
 [[nodiscard]] std::optional<std::string> find_fault(const catalogue& candidate);
 
-/// @brief The queue with this host and the longest prefix of the path; null for none.
+/// @brief The queue with this host and the longest matching path prefix; null if none matches.
 /// Complexity: linear in the queues.
 [[nodiscard]] const queue_spec* find_queue(const catalogue& held, std::string_view host,
                                            std::string_view path);
 
-/// @brief The queue of a name; null for none.
+/// @brief The queue with this name; null if there is none.
 [[nodiscard]] const queue_spec* find_queue_by_name(const catalogue& held, std::string_view name);
 
 } // namespace walkthread
--- a/include/walkthread/workload/commands.hpp
+++ b/include/walkthread/workload/commands.hpp
@@ -21,37 +21,37 @@
 /// @brief Errors of the workload layer.
 enum class workload_code
 {
-    unknown_queue = 420,      ///< no queue has this host and path
-    unknown_submission = 421, ///< no submission of this id in this queue
+    unknown_queue = 420,      ///< no queue matches this host and path
+    unknown_submission = 421, ///< the queue has no submission with this id
     bad_submission = 422,     ///< a field is out of range, or a dependency is not an earlier step
-    bad_catalogue = 423,      ///< the configuration cannot be read whole or contradicts itself
-    too_many = 424,           ///< more submissions wait than are kept
-    id_in_use = 425,          ///< another queue's or organisation's submission has this id
-    bad_wave = 426,           ///< a wave of upkeep names no host or no limit
-    former_worker = 427,      ///< this worker's life is over; a late report changes nothing
-    no_key = 428,             ///< the queue wants a key of an organisation
-    unknown_key = 429,        ///< no organisation holds this key
+    bad_catalogue = 423,      ///< the configuration is malformed or inconsistent
+    too_many = 424,           ///< the limit of unfinished submissions is reached
+    id_in_use = 425,          ///< a submission of another queue or organisation has this id
+    bad_wave = 426,           ///< a maintenance wave names no host or no limit
+    former_worker = 427,      ///< this incarnation of the worker has ended; a late report has no effect
+    no_key = 428,             ///< the queue requires an API key
+    unknown_key = 429,        ///< the API key belongs to no organisation
 };
 using workload_error = layer_error<workload_code>;
 
-/// @brief Replaces the configuration if its version is above the held one.
+/// @brief Replaces the configuration if the version is higher than the current one.
 struct replace_catalogue
 {
     catalogue next;
     MSGPACK_DEFINE(next)
 };
 
-/// @brief Keeps a submission; the same id again changes nothing.
+/// @brief Accepts a submission. Idempotent: repeating an id has no effect.
 struct keep_submission
 {
     submission_id id{};
     std::string queue;
     submission_spec spec;
-    std::string organisation; ///< whose it is; empty for nobody's
+    std::string organisation; ///< owner; empty for none
     MSGPACK_DEFINE(id, queue, spec, organisation)
 };
 
-/// @brief Ends a submission at its caller's wish.
+/// @brief Cancels a submission at its caller's request.
 struct cancel_submission
 {
     submission_id id{};
@@ -59,13 +59,13 @@
     MSGPACK_DEFINE(id, queue)
 };
 
-/// @brief What a worker says of itself when it is first heard.
+/// @brief What a worker reports about itself and its host.
 /// @since 0.2
 struct worker_facts
 {
-    std::string id;      ///< the worker's own; a later life of it may have the same
-    std::string host;    ///< the host's name
-    std::string address; ///< IP number and port
+    std::string id;      ///< chosen by the worker; a later incarnation may reuse it
+    std::string host;    ///< host name
+    std::string address; ///< IP address and port
     std::string pool;
     std::string hall;
     std::vector<std::string> labels;
@@ -80,41 +80,45 @@
     }
 };
 
-/// @brief Numbers a worker's life. For a life that is known already, facts of an older report change nothing.
+/// @brief Adds an incarnation of a worker and assigns its number. If it is known already, a report that is
+/// older than the stored description has no effect.
 ///
-/// An older life of the same host is over. If it had another id, its runs end as lapsed: orders for it are
-/// refused from now on. If it had the same id, orders for it may have been carried out by the new life, or
-/// may be yet, so its runs are carried over: each may exist there until that is ruled out.
+/// This ends any former incarnation on the same host. If that had another worker id, its runs end as
+/// lapsed, since orders addressed to it are rejected from now on. If it had the same id, the new incarnation
+/// may have executed orders meant for the former one, or may do so later. The runs are therefore transferred
+/// to the new incarnation and count as active there until it is known that they do not exist.
 struct admit_worker
 {
     worker_facts facts;
-    std::uint64_t sequence{};     ///< of the report
-    bool assumed{};               ///< facts of the former life: this one answers, but has not reported yet
-    std::vector<lost_run> lost{}; ///< what ended with the former life of the same id
+    std::uint64_t sequence{}; ///< report number
+    /// The description is that of the former incarnation: the new one answers, but has not reported yet.
+    bool assumed{};
+    std::vector<lost_run> lost{}; ///< runs that ended with the former incarnation of the same id
     MSGPACK_DEFINE(facts, sequence, assumed, lost)
 };
 
-/// @brief Drops a worker's life: it left, or its lease is surely over. Its runs end as lapsed.
+/// @brief Removes an incarnation of a worker: it left, or its lease has expired. Its runs end as lapsed.
 struct drop_worker
 {
     worker_life_id worker{};
-    bool for_good{}; ///< it has ended; otherwise it may report again and then counts as another life
-    std::vector<lost_run> lost{}; ///< what it ran, unless it left as it had said: then nothing is to blame
+    /// It has ended. Otherwise it may report again and is then added under a new number.
+    bool for_good{};
+    std::vector<lost_run> lost{}; ///< its runs; no crash evidence if it had announced that it leaves
     MSGPACK_DEFINE(worker, for_good, lost)
 };
 
-/// @brief A worker said that it is about to leave, or that it stays after all. Of two, the one with the
-/// higher sequence counts.
+/// @brief A worker announced that it is about to leave, or withdrew that. The report with the highest
+/// sequence number takes effect.
 struct mark_leaving
 {
     worker_life_id worker{};
-    std::uint64_t sequence{}; ///< of the report
+    std::uint64_t sequence{}; ///< report number
     bool leaving{};
     MSGPACK_DEFINE(worker, sequence, leaving)
 };
 
-/// @brief What the leader knew of a worker's runs when the worker stopped answering; nothing once it answers
-/// again. The next leader does not know by itself which runs had begun there, and when.
+/// @brief Stores the last known state of a worker's runs when it stops answering; empty once it answers
+/// again. A new leader could not tell otherwise which runs had started there, and when.
 struct note_last_word
 {
     worker_life_id worker{};
@@ -122,7 +126,7 @@
     MSGPACK_DEFINE(worker, runs)
 };
 
-/// @brief One start to be made.
+/// @brief One planned start of a task on a worker.
 struct planned_start
 {
     task_ref task{};
@@ -131,14 +135,14 @@
     MSGPACK_DEFINE(task, run, worker)
 };
 
-/// @brief Records starts before their orders are sent. A gang's starts stand in one command.
+/// @brief Records starts before the start orders are sent. All starts of a gang are in one command.
 struct record_starts
 {
     std::vector<planned_start> starts;
     MSGPACK_DEFINE(starts)
 };
 
-/// @brief One run's end.
+/// @brief The end of one run.
 struct observed_end
 {
     run_ref run{};
@@ -147,23 +151,24 @@
     MSGPACK_DEFINE(run, how, checkpoint)
 };
 
-/// @brief Ends that one worker listed, and up to which of its numbers.
+/// @brief Ends of runs on one worker.
 struct record_ends
 {
     worker_life_id worker{};
-    std::uint64_t listed_up_to{}; ///< 0 for ends that the worker did not list
+    /// Highest sequence number of the ends that the worker listed; 0 for ends that it did not list itself.
+    std::uint64_t listed_up_to{};
     std::vector<observed_end> ends;
     MSGPACK_DEFINE(worker, listed_up_to, ends)
 };
 
-/// @brief Forgets final submissions.
+/// @brief Removes final submissions.
 struct forget_submissions
 {
     std::vector<submission_id> ids;
     MSGPACK_DEFINE(ids)
 };
 
-/// @brief A wave of upkeep: each host once, at most `at_once` at a time.
+/// @brief Starts a maintenance wave: each host once, at most `at_once` hosts at a time.
 struct begin_wave
 {
     std::uint64_t wave{};
@@ -173,21 +178,21 @@
     MSGPACK_DEFINE(wave, hosts, within_s, at_once)
 };
 
-/// @brief How far a host of a wave is.
+/// @brief Progress of a host in a maintenance wave.
 enum class upkeep_phase : std::uint8_t
 {
     waiting,
     ordered,   ///< the order may have been sent
-    under_way, ///< the platform took the order
+    under_way, ///< the platform accepted the order
     finished,
 };
 
-/// @brief Moves a host of a wave on.
+/// @brief Advances a host of a maintenance wave to a phase. Phases never go back.
 struct advance_upkeep
 {
     std::uint64_t wave{};
     std::string host;
-    std::uint8_t phase{}; ///< an upkeep_phase
+    std::uint8_t phase{}; ///< a maintenance_phase
     MSGPACK_DEFINE(wave, host, phase)
 };
 
@@ -195,7 +200,7 @@
                                       drop_worker, record_starts, record_ends, forget_submissions, begin_wave,
                                       advance_upkeep, mark_leaving, note_last_word>;
 
-/// @brief What applying a command gave: 0, or a workload_code.
+/// @brief Result of applying a command: 0 for success, or a workload_code.
 struct workload_result
 {
     std::int32_t code{};
@@ -203,7 +208,7 @@
     MSGPACK_DEFINE(code, detail)
 };
 
-/// @brief What is wrong with a submission; empty if nothing is.
+/// @brief Describes the first error in a submission; empty if it is valid.
 [[nodiscard]] std::string find_fault(const submission_spec& spec);
 
 } // namespace walkthread
--- a/include/walkthread/workload/crash_ledger.hpp
+++ b/include/walkthread/workload/crash_ledger.hpp
@@ -1,12 +1,12 @@
 #pragma once
 
 /// @file
-/// @brief Which tasks take down the hosts that they run on: evidence from each crash, and the verdict.
+/// @brief Finds poison tasks, which crash the hosts that they run on, from the evidence of each crash.
 ///
-/// Replicated, as a part of `workload_state`. A host that crashes runs several tasks, of which one is at
-/// fault at most: each gets a share of the blame, by what the leader knew of it. A loss counts once the host
-/// is surely known to have crashed, that is when another life of a worker answers there; a host that is only
-/// unheard may be cut off.
+/// Replicated as a part of `workload_state`. A host that crashes usually ran several tasks, of which at most
+/// one caused the crash, so each gets a share of the blame that depends on what the leader knew of it. A lost
+/// host counts as crashed only once a new incarnation of a worker answers there: an unresponsive host may
+/// just be partitioned from the network.
 /// @since 0.4
 
 #include <cstdint>
@@ -20,24 +20,25 @@
 namespace walkthread
 {
 
-/// @brief Shares of the blame for one crash. A task whose shares come to `conviction` is given up, once
-/// enough hosts have surely crashed under it.
+/// @brief Shares of the blame for one crash. A task fails when the sum of its shares reaches
+/// `failure_threshold` and enough hosts are known to have crashed while it ran there.
 namespace blame
 {
 inline constexpr std::uint32_t conviction = 30;
-/// Nothing but its submission had just begun there: enough twice.
+/// Only this task's submission had just started runs there: two such crashes suffice.
 inline constexpr std::uint32_t sole = 22;
-/// It was of one of two submissions that had just begun there. Three times are not enough: the fourth run is
-/// by itself, which tells.
+/// Its submission was one of two that had just started runs there. Three such crashes stay below the
+/// threshold; the fourth run is isolated, which gives clear evidence.
 inline constexpr std::uint32_t shared = 9;
-/// More of them had, or it was the only run there. From this on it is started apart, so that a second crash
-/// tells more.
+/// More than two submissions had just started runs there, or this was the only run. A task with at least
+/// this blame is started isolated, so that a second crash gives clearer evidence.
 inline constexpr std::uint32_t crowd = 8;
-/// It stood beside: five crashes. The platform allows two starts after the third crash, so no share is
-/// smaller.
+/// It had been running for a while: fails after five crashes. No share is smaller, since the platform allows
+/// only two starts after the third crash.
 inline constexpr std::uint32_t least = 6;
-/// Crashes of runs that are known to have begun: the platform allows to give up no task before. With so few
-/// it must have been the sole one each time: beside another submission, that one may be at fault.
+/// Crashes during runs that are known to have started; the platform does not allow a task to be failed after
+/// fewer. With just this many, its submission must have been the only recent one each time, since otherwise
+/// the other submission may have caused a crash.
 inline constexpr std::uint32_t least_crashes = 2;
 } // namespace blame
 
@@ -45,29 +46,29 @@
 struct lost_run
 {
     run_ref run{};
-    bool began{};           ///< it surely did
-    std::uint32_t blame{};  ///< its share, if the host has crashed
-    std::string checkpoint; ///< the newest known; empty for none
-    bool over{};            ///< it had ended by then, so that nothing is held against it
+    bool began{};           ///< it is known to have started
+    std::uint32_t blame{};  ///< its share if the host crashed
+    std::string checkpoint; ///< the last known one; empty for none
+    bool over{};            ///< it had ended before the host was lost, so it gets no blame
     MSGPACK_DEFINE(run, began, blame, checkpoint, over)
 };
 
-/// @brief What there is against a task.
+/// @brief Evidence that a task crashes its hosts.
 struct suspicion
 {
-    std::uint32_t crashes{};              ///< hosts that crashed while it surely ran there
-    std::uint32_t unclear{};              ///< hosts that crashed when it may have begun there
-    std::uint32_t blame{};                ///< the sum of its shares in `crashes`
-    std::uint32_t unproven{};             ///< losses with hosts that may have crashed or be cut off
-    std::vector<std::uint32_t> charged{}; ///< runs that a crash was counted for
+    std::uint32_t crashes{};              ///< hosts that crashed while it is known to have run there
+    std::uint32_t unclear{};              ///< hosts that crashed when it may have started there
+    std::uint32_t blame{};                ///< sum of its shares over `crashes`
+    std::uint32_t unproven{};             ///< lost hosts that may have crashed or be partitioned
+    std::vector<std::uint32_t> charged{}; ///< runs whose crash has been counted
     MSGPACK_DEFINE(crashes, unclear, blame, unproven, charged)
 
-    /// @brief Hosts that were lost with a run of it, whatever became of them.
+    /// @brief All hosts that were lost with a run of the task.
     [[nodiscard]] std::uint32_t losses() const
     {
         return crashes + unclear + unproven;
     }
-    /// @brief Whether that is enough to give the task up.
+    /// @brief Whether the evidence suffices to fail the task.
     [[nodiscard]] bool convicts() const
     {
         return crashes > blame::least_crashes
@@ -76,45 +77,51 @@
     }
 };
 
-/// @brief A task that was given up.
+/// @brief A task that was failed because it crashes its hosts.
 struct verdict
 {
     task_ref task{};
     suspicion against;
-    std::string last_host; ///< the last that crashed
+    std::string last_host; ///< the last host that crashed
     MSGPACK_DEFINE(task, against, last_host)
 };
 
-/// @brief Evidence against tasks and what came of it. Deterministic; belongs to one `workload_state`.
+/// @brief Crash evidence of all tasks, and the tasks failed because of it. Deterministic; a part of
+/// `workload_state`.
 /// @since 0.4
 class crash_ledger
 {
   public:
-    /// @brief A life on a host went unheard for longer than its lease: it has crashed or is cut off.
-    /// Complexity: linear in the lives kept, which are bounded.
+    /// @brief Notes that an incarnation on a host was unresponsive for longer than its lease: it has crashed
+    /// or is partitioned. Complexity: linear in the stored hosts, whose number is bounded.
     void note_unheard(const std::string& host, const life_ref& life, std::vector<lost_run> lost);
-    /// @brief A life answers on a host. @return what an unheard life was running there, if it surely crashed
+    /// @brief Notes that an incarnation answers on a host.
+    /// @return the runs of the unresponsive incarnation there if it has crashed, that is if another one
+    /// answers
     [[nodiscard]] std::vector<lost_run> take_crashed(const std::string& host, const life_ref& life);
-    /// @brief Counts one run's share, once for each run: leaders that follow each other may tell of the same
-    /// loss. An order to a host that was down by then looks like one that crashed it before it answered, so
-    /// runs that may never have begun have no share. @return whether that convicts its task
+    /// @brief Counts the crash of one run, once per run, since successive leaders may report the same loss.
+    ///
+    /// Runs that may not have started get no share: an order sent to a host that was already down looks the
+    /// same as one that crashed the host before it answered.
+    /// @return whether the task has to be failed
     bool accuse(const lost_run& lost, const std::string& host);
-    /// @brief Nothing is held against these any more. Complexity: logarithmic in the suspects.
+    /// @brief Drops the evidence on a task, or on all tasks of a submission. Complexity: logarithmic in the
+    /// suspects.
     void clear(const task_ref& task);
     void clear(submission_id id);
 
-    /// @brief What there is against a task, or null.
+    /// @brief The evidence on a task, or null.
     [[nodiscard]] const suspicion* find(const task_ref& task) const;
     [[nodiscard]] const std::map<task_ref, suspicion>& suspects() const
     {
         return m_suspects;
     }
-    /// @brief The last tasks that were given up, oldest first.
+    /// @brief The most recent tasks failed as poison tasks, oldest first.
     [[nodiscard]] const std::vector<verdict>& verdicts() const
     {
         return m_verdicts;
     }
-    /// @brief How many there ever were.
+    /// @brief Number of all poison tasks so far, including those no longer stored.
     [[nodiscard]] std::uint64_t verdict_count() const
     {
         return m_verdict_count;
--- a/include/walkthread/workload/life.hpp
+++ b/include/walkthread/workload/life.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Which life of a worker is meant: an id outlives its lives.
+/// @brief Identifies an incarnation of a worker: a restarted worker may keep its id.
 /// @since 0.5
 
 #include <compare>
@@ -15,13 +15,13 @@
 namespace walkthread
 {
 
-/// @brief When a worker's process started, in Unix milliseconds by its own machine's time of day; 0 where it
-/// is not known. Two lives under one id differ in it. Which of them is newer it does not tell: that clock may
-/// be set back.
+/// @brief Start time of a worker's process, in Unix milliseconds by its own wall clock; 0 if unknown. It
+/// distinguishes incarnations with the same id but does not order them, since that clock may be set back.
 using birth_ms = strong<struct birth_ms_tag, std::int64_t>;
 
-/// @brief One life of a worker. A worker that starts again may keep its id; it knows nothing of before, and
-/// its reports, ends and clock count anew. The order is for containers only.
+/// @brief One incarnation of a worker, that is one lifetime of its process. A restarted worker may keep its
+/// id, but it has no state of its predecessor, and its report numbers, end numbers and clock start anew. The
+/// ordering is meant for containers only.
 /// @since 0.5
 struct life_ref
 {
--- a/include/walkthread/workload/names.hpp
+++ b/include/walkthread/workload/names.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Submissions, steps, tasks and runs as text, for logs and for the outside.
+/// @brief Text forms of submissions, steps, tasks and runs, for logs and external interfaces.
 /// @since 0.2
 
 #include <optional>
@@ -21,13 +21,13 @@
 [[nodiscard]] std::string name_of(const task_ref& task);
 /// @brief `SUBMISSION.ROUND.STEP.INDEX/RUN`.
 [[nodiscard]] std::string name_of(const run_ref& run);
-/// @brief Reads 16 hexadecimal digits. @return no value for anything else
+/// @brief Parses 16 hexadecimal digits. @return no value for any other text
 [[nodiscard]] std::optional<submission_id> parse_submission_id(std::string_view text);
-/// @brief Reads what `name_of(task_ref)` writes. @return no value for anything else
+/// @brief Parses the output of `name_of(task_ref)`. @return no value for any other text
 [[nodiscard]] std::optional<task_ref> parse_task_name(std::string_view text);
-/// @brief A phase as callers read it.
+/// @brief Name of a phase in the interface for callers.
 [[nodiscard]] std::string_view name_of(submission_phase phase);
-/// @brief An end as logs show it.
+/// @brief Name of an end in logs.
 [[nodiscard]] std::string_view name_of(run_end how);
 
 } // namespace walkthread
--- a/include/walkthread/workload/organisation.hpp
+++ b/include/walkthread/workload/organisation.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Organisations as operators configure them: their keys, shares and limits.
+/// @brief Organisations as configured by operators: API keys, shares and limits.
 /// @since 0.6
 
 #include <cstdint>
@@ -19,31 +19,32 @@
 namespace walkthread
 {
 
-/// @brief One organisation of a configuration.
+/// @brief Configuration of one organisation.
 /// @since 0.6
 struct organisation_spec
 {
     std::string name;
-    std::vector<std::string> keys; ///< each of them proves that a call is this organisation's
+    std::vector<std::string> keys; ///< API keys; each authenticates calls of this organisation
     std::int32_t priority{};
-    double weight{};   ///< its share once all is full; also the submissions a second that it is owed
-    resources limit{}; ///< what it may have running on all hosts together; 0 stands for no limit
+    double weight{};   ///< its share under full load; also its guaranteed rate in submissions per second
+    resources limit{}; ///< of its running tasks on all hosts together; 0 for no limit
     MSGPACK_DEFINE(name, keys, priority, weight, limit)
 };
 
-/// @brief Longest key in bytes: callers send it with each call.
+/// @brief Maximum length of a key in bytes; bounded because callers send it with each call.
 inline constexpr std::size_t longest_key = 512;
-/// @brief Largest weight, in submissions a second: far above what the whole system takes.
+/// @brief Maximum weight, in submissions per second: far above the capacity of the whole system.
 inline constexpr double largest_weight = 1e9;
 
-/// @brief What is wrong with the organisations of a configuration; no value if nothing is. The text names the
-/// organisation and the place of a key in it, never a key. Complexity: linear in the keys.
+/// @brief Describes the first error in the organisations of a configuration; no value if they are valid. The
+/// text names the organisation and the position of a key but never contains a key. Complexity: linear in the
+/// keys.
 [[nodiscard]] std::optional<std::string> find_fault(const std::vector<organisation_spec>& organisations);
 
-/// @brief Whether two secrets are the same, in time that depends on their lengths only.
+/// @brief Compares two secrets in a time that depends only on their lengths.
 [[nodiscard]] bool same_secret(std::string_view a, std::string_view b);
 
-/// @brief Finds the organisation of a key.
+/// @brief Maps API keys to organisations.
 /// @since 0.6
 class key_ring
 {
@@ -51,7 +52,8 @@
     key_ring() = default;
     explicit key_ring(const std::vector<organisation_spec>& organisations);
 
-    /// @brief The name of the organisation that holds a key; null for none. Complexity: constant on average.
+    /// @brief The name of the organisation with this key; null if there is none. Complexity: constant on
+    /// average.
     [[nodiscard]] const std::string* find(std::string_view key) const;
 
   private:
@@ -63,31 +65,34 @@
     std::unordered_multimap<std::size_t, held_key> m_by_hash;
 };
 
-/// @brief How many more tasks of a size a limit leaves room for. Complexity: constant.
-/// @param used what runs already
+/// @brief How many more tasks of a given size fit within a limit. Complexity: constant.
+/// @param used resources in use
+/// @param each size of one task
 [[nodiscard]] std::uint32_t places_within(const resources& limit, const resources& used,
                                           const resources& each);
 
-/// @brief What each organisation may have running, against its limit.
+/// @brief Resource usage of each organisation and its limit.
 ///
-/// Counts every run that may exist: recorded before its order is sent, and until its end is recorded.
+/// Counts every run that may exist: from when its start is recorded, before the order is sent, until its end
+/// is recorded.
 /// @since 0.6
 class quota_book
 {
   public:
-    /// @brief Takes the limits of a configuration. An organisation that is no longer named keeps its last
-    /// limit for the work it still has.
+    /// @brief Sets the limits from a configuration. An organisation that was removed from it keeps its last
+    /// limit while it has running work.
     void set_limits(const std::vector<organisation_spec>& organisations);
-    /// @brief Forgets all usage; limits stay.
+    /// @brief Resets the usage of all organisations; limits stay.
     void clear_usage()
     {
         m_used.clear();
     }
     void take(const std::string& organisation, const resources& room);
     void give_back(const std::string& organisation, const resources& room);
-    /// @brief How many more tasks of a size an organisation may start. Work of no organisation has no limit.
-    /// Complexity: logarithmic in the organisations.
-    /// @param planned what it is about to start besides
+    /// @brief How many more tasks of a given size an organisation may start. Work without an organisation has
+    /// no limit. Complexity: logarithmic in the organisations.
+    /// @param each size of one task
+    /// @param planned resources of further starts that are not recorded yet
     [[nodiscard]] std::uint32_t places(const std::string& organisation, const resources& each,
                                        const resources& planned = {}) const;
     [[nodiscard]] resources used(const std::string& organisation) const;
@@ -97,7 +102,7 @@
 
   private:
     std::map<std::string, resources> m_limits;
-    std::map<std::string, resources> m_used; ///< an index over runs; not saved
+    std::map<std::string, resources> m_used; ///< derived from the active runs; not saved
 };
 
 } // namespace walkthread
--- a/include/walkthread/workload/submission.hpp
+++ b/include/walkthread/workload/submission.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief What a caller submits: steps of tasks with dependencies, and what each task has become.
+/// @brief Submissions of callers: steps of tasks with dependencies, and the progress of each task.
 /// @since 0.2
 
 #include <compare>
@@ -16,59 +16,59 @@
 namespace walkthread
 {
 
-/// @brief A submission's id, chosen by its caller; unique over all queues.
+/// @brief Id of a submission, chosen by its caller; unique over all queues.
 using submission_id = strong<struct submission_id_tag, std::uint64_t>;
-/// @brief One life of a worker on a host, numbered by the replicated state; 0 is none.
+/// @brief Number of a worker's incarnation, assigned by the replicated state; 0 for none.
 using worker_life_id = strong<struct worker_life_id_tag, std::uint32_t>;
-/// @brief Which of a submission's repetitions, from 0.
+/// @brief Index of a repetition of a submission, from 0.
 using round_id = strong<struct round_id_tag, std::uint32_t>;
 
-/// @brief One step: tasks of one shape that may start once earlier steps are done.
+/// @brief One step: equal tasks that may start once the steps they depend on have completed.
 /// @since 0.2
 struct step_spec
 {
-    std::uint32_t count{};            ///< tasks, at least 1
+    std::uint32_t count{};            ///< number of tasks, at least 1
     resources size{};                 ///< of one task
-    std::int64_t estimate_ms{};       ///< the caller's rough guess of one task's run time; 0 for none
-    std::vector<std::uint32_t> after; ///< earlier steps, all of whose tasks must be done first
+    std::int64_t estimate_ms{};       ///< the caller's rough estimate of one task's run time; 0 for none
+    std::vector<std::uint32_t> after; ///< indexes of earlier steps that must complete first
     bool checkpoints{};               ///< tasks report checkpoints and can resume from one
-    bool gang{};                      ///< the tasks only work together
-    bool same_rack{};                 ///< slower when spread over racks
-    bool duplicates_allowed{};        ///< copies of a task may run side by side
+    bool gang{};                      ///< gang scheduling: the tasks only work if all of them run
+    bool same_rack{};                 ///< slower when spread over several racks
+    bool duplicates_allowed{};        ///< several runs of a task may exist at the same time
     bool lasting{};                   ///< runs until the submission is cancelled
-    bool fills{};                     ///< takes only processor time that others leave over
+    bool fills{};                     ///< best effort: uses only processor time that other tasks leave idle
     std::string required_label;       ///< a label the host must have; empty for none
     std::string preferred_rack;       ///< the rack that holds the data; empty for none
-    std::uint32_t per_host_limit{};   ///< most tasks of this step and round on one host; 0 for no limit
-    std::string image;                ///< tasks of one image behave alike
-    std::int64_t latency_target_ms{}; ///< for tasks that serve users: their tail is to stay below; 0 for none
-    std::uint32_t may_miss{};         ///< lasting tasks that may be away at once through our own doing
+    std::uint32_t per_host_limit{};   ///< maximum tasks of this step and round on one host; 0 for no limit
+    std::string image;                ///< tasks of the same image are assumed to behave alike
+    std::int64_t latency_target_ms{}; ///< for tasks that serve users: bound on their tail latency; 0 for none
+    std::uint32_t may_miss{};         ///< how many long-running tasks the scheduler may stop at the same time
     MSGPACK_DEFINE(count, size, estimate_ms, after, checkpoints, gang, same_rack, duplicates_allowed, lasting,
                    fills, required_label, preferred_rack, per_host_limit, image, latency_target_ms, may_miss)
 };
 
-/// @brief Steps of one submission at most: far above what callers send; bounds one entry's size.
+/// @brief Maximum steps of one submission: far above what callers send; bounds the size of a log entry.
 inline constexpr std::size_t most_steps = 64;
 
-/// @brief A whole submission as its caller wrote it.
+/// @brief A submission as sent by its caller.
 /// @since 0.2
 struct submission_spec
 {
-    std::string payload; ///< opaque text for the tasks
+    std::string payload; ///< opaque text that is passed to the tasks
     std::vector<step_spec> steps;
-    std::uint32_t rounds{1};  ///< how many times the steps run
-    wall_ms first_due{};      ///< when round 0 is due; 0 for at once
+    std::uint32_t rounds{1};  ///< number of repetitions of all steps
+    wall_ms first_due{};      ///< when round 0 is due; 0 for immediately
     std::int64_t period_ms{}; ///< from one round to the next
     MSGPACK_DEFINE(payload, steps, rounds, first_due, period_ms)
 
-    /// @brief When a round is due, in wall time; 0 for at once.
+    /// @brief When a round is due, in wall time; 0 for immediately.
     [[nodiscard]] wall_ms due_at(round_id round) const
     {
         return first_due == 0 ? 0 : first_due + static_cast<wall_ms>(round.value()) * period_ms;
     }
 };
 
-/// @brief Names one step of one round of a submission.
+/// @brief Identifies one step in one round of a submission.
 struct step_ref
 {
     submission_id submission{};
@@ -78,7 +78,7 @@
     MSGPACK_DEFINE(submission, round, step)
 };
 
-/// @brief Names one task.
+/// @brief Identifies one task.
 struct task_ref
 {
     step_ref step{};
@@ -87,7 +87,7 @@
     MSGPACK_DEFINE(step, index)
 };
 
-/// @brief Names one start of a task.
+/// @brief Identifies one run of a task.
 struct run_ref
 {
     task_ref task{};
@@ -96,19 +96,19 @@
     MSGPACK_DEFINE(task, run)
 };
 
-/// @brief How a run ended, as its worker reports it.
+/// @brief How a run ended.
 enum class run_end : std::uint8_t
 {
-    completed,   ///< the task is done
+    completed,   ///< the task succeeded
     failed,      ///< counts as an attempt
-    stopped,     ///< on our order
-    lapsed,      ///< the worker's lease ran out
+    stopped,     ///< by an order of the leader
+    lapsed,      ///< the worker's lease expired
     broken,      ///< another member of its gang ended
-    lonely,      ///< the other members of its gang did not come
-    never_began, ///< the worker surely did not start it and never will
+    lonely,      ///< the other members of its gang did not start in time
+    never_began, ///< the worker did not start it and never will
 };
 
-/// @brief What a task is at the moment.
+/// @brief Current phase of a task.
 enum class work_phase : std::uint8_t
 {
     waiting,
@@ -116,28 +116,28 @@
     completed,
 };
 
-/// @brief One task's record.
+/// @brief Stored state of one task.
 struct work_task
 {
     std::uint8_t phase{};       ///< a work_phase
-    std::uint32_t run{};        ///< the last run's number; 0 before the first
+    std::uint32_t run{};        ///< number of the last run; 0 before the first
     std::uint32_t failures{};   ///< runs that ended as failed
-    worker_life_id worker{};    ///< where the active run is
-    worker_life_id failed_on{}; ///< where the last failed run was
-    std::string checkpoint;     ///< the newest known; empty for none
-    std::uint8_t last_end{};    ///< a run_end: of the last run, where the task waits again
+    worker_life_id worker{};    ///< worker of the active run
+    worker_life_id failed_on{}; ///< worker of the last failed run
+    std::string checkpoint;     ///< the last known one; empty for none
+    std::uint8_t last_end{};    ///< a run_end: how the last run ended, if the task is waiting again
     MSGPACK_DEFINE(phase, run, failures, worker, failed_on, checkpoint, last_end)
 
     [[nodiscard]] work_phase state() const
     {
         return static_cast<work_phase>(phase);
     }
-    /// @brief Whether that run of it may exist.
+    /// @brief Whether this run may exist.
     [[nodiscard]] bool is_active(std::uint32_t in_run) const
     {
         return state() == work_phase::active && run == in_run;
     }
-    /// @brief Whether a run of it, as a member of a gang, ended because another member had.
+    /// @brief Whether this run ended because another member of its gang ended.
     [[nodiscard]] bool broke(std::uint32_t in_run) const
     {
         return state() == work_phase::waiting && run == in_run &&
@@ -145,7 +145,7 @@
     }
 };
 
-/// @brief What a submission is at the moment.
+/// @brief Current phase of a submission.
 enum class submission_phase : std::uint8_t
 {
     queued,
@@ -155,13 +155,13 @@
     cancelled,
 };
 
-/// @brief One step's progress in one round.
+/// @brief Progress of one step in one round.
 struct step_progress
 {
     std::vector<work_task> tasks;
     std::uint32_t completed{};
     std::uint32_t gang_failures{};   ///< runs of the whole gang that ended as failed
-    std::uint32_t gang_failed_run{}; ///< the newest run counted there
+    std::uint32_t gang_failed_run{}; ///< highest run number counted in `gang_failures`
     MSGPACK_DEFINE(tasks, completed, gang_failures, gang_failed_run)
 
     /// @brief Whether every task is completed.
@@ -171,7 +171,7 @@
     }
 };
 
-/// @brief One round's progress.
+/// @brief Progress of one round.
 struct round_progress
 {
     std::vector<step_progress> steps;
@@ -179,22 +179,22 @@
     MSGPACK_DEFINE(steps, completed_steps)
 };
 
-/// @brief A kept submission.
+/// @brief Stored state of a submission.
 /// @since 0.2
 struct submission
 {
     submission_id id{};
     std::string queue;
-    std::string pool; ///< the hosts' pool that runs it
+    std::string pool; ///< host pool that runs it
     std::uint32_t max_attempts{};
     submission_spec spec;
     std::uint8_t phase{}; ///< a submission_phase
     wall_ms accepted{};
-    wall_ms ended{}; ///< when it became final; 0 before
+    wall_ms ended{}; ///< when it became final; 0 until then
     std::vector<round_progress> rounds;
     std::uint32_t completed_rounds{};
     std::uint32_t active{};   ///< tasks in phase active
-    std::string organisation; ///< whose it is; empty for nobody's
+    std::string organisation; ///< owner; empty for none
     MSGPACK_DEFINE(id, queue, pool, max_attempts, spec, phase, accepted, ended, rounds, completed_rounds,
                    active, organisation)
 
@@ -202,7 +202,7 @@
     {
         return static_cast<submission_phase>(phase);
     }
-    /// @brief Whether nothing of it is to be started any more.
+    /// @brief Whether it has ended, so that no more of its tasks start.
     [[nodiscard]] bool final() const
     {
         return phase >= static_cast<std::uint8_t>(submission_phase::completed);
--- a/include/walkthread/workload/workload_state.hpp
+++ b/include/walkthread/workload/workload_state.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief The replicated state of submissions, workers, the configuration and waves of upkeep.
+/// @brief The replicated state of submissions, workers, the configuration and maintenance waves.
 ///
 /// Deterministic: every replica that applies the same commands holds the same content.
 /// @since 0.2
@@ -19,46 +19,49 @@
 namespace walkthread
 {
 
-/// @brief A worker's life as replicated.
+/// @brief Replicated state of one incarnation of a worker.
 /// @since 0.2
 struct worker_life
 {
     worker_life_id id{};
     worker_facts facts;
-    std::uint64_t listed_up_to{};          ///< ends that it numbered up to this are recorded
-    std::map<run_ref, resources> occupied; ///< runs that may exist there, and what they take
-    resources used{};                      ///< the sum of `occupied`
-    bool leaving{};                        ///< it said so: nothing new goes there
-    std::uint64_t leaving_sequence{};      ///< of the report that `leaving` follows
-    std::uint64_t facts_sequence{};        ///< of the report that `facts` are of
-    bool assumed{};           ///< `facts` are those of its former life: nothing new goes there yet
-    worker_life_id follows{}; ///< the former life under the same id, whose runs it took over; 0 for none
-    std::vector<lost_run> last_word; ///< its runs, as known when it stopped answering; empty while it answers
+    std::uint64_t listed_up_to{};          ///< its reported ends are recorded up to this sequence number
+    std::map<run_ref, resources> occupied; ///< runs that may exist there, and the resources they use
+    resources used{};                      ///< sum over `occupied`
+    bool leaving{};                        ///< it announced that it leaves: no new starts there
+    std::uint64_t leaving_sequence{};      ///< number of the report that set `leaving`
+    std::uint64_t facts_sequence{};        ///< number of the report with `description`
+    /// `description` is that of the former incarnation, so nothing new starts there yet.
+    bool assumed{};
+    /// Former incarnation with the same id, whose runs were transferred to this one; 0 for none.
+    worker_life_id follows{};
+    /// Last known state of its runs when it stopped answering; empty while it answers.
+    std::vector<lost_run> last_word;
     MSGPACK_DEFINE(id, facts, listed_up_to, occupied, used, leaving, leaving_sequence, facts_sequence,
                    assumed, follows, last_word)
 };
 
-/// @brief What a life that was dropped as unheard last said about leaving; it may come back.
+/// @brief Leaving state of an incarnation that was removed as unresponsive; it may return.
 struct unheard_life
 {
     std::string id;
-    std::uint64_t leaving_sequence{}; ///< of the report that `leaving` follows
+    std::uint64_t leaving_sequence{}; ///< number of the report that set `leaving`
     bool leaving{};
     birth_ms born{};
     MSGPACK_DEFINE(id, leaving_sequence, leaving, born)
 };
 
-/// @brief A wave of upkeep as replicated.
+/// @brief Replicated state of a maintenance wave.
 struct upkeep_wave
 {
     std::uint64_t wave{};
-    std::map<std::string, std::uint8_t> hosts; ///< an upkeep_phase each
+    std::map<std::string, std::uint8_t> hosts; ///< maintenance_phase of each host
     wall_ms asked{};
     std::int64_t within_s{};
     std::uint32_t at_once{};
     MSGPACK_DEFINE(wave, hosts, asked, within_s, at_once)
 
-    /// @brief Whether every host is finished. Complexity: linear in the hosts.
+    /// @brief Whether maintenance of every host has finished. Complexity: linear in the hosts.
     [[nodiscard]] bool complete() const;
 };
 
@@ -67,29 +70,30 @@
 class workload_state
 {
   public:
-    /// @brief Applies one command at the leader's wall time.
+    /// @brief Applies one command.
+    /// @param at the leader's wall time when it proposed the command
     workload_result apply(wall_ms at, const workload_command& command);
 
-    /// @brief The content as bytes. Complexity: linear in the content.
+    /// @brief Serialises the state. Complexity: linear in the content.
     [[nodiscard]] std::string save() const;
-    /// @brief Replaces the content. @return whether the bytes could be read
+    /// @brief Replaces the state by a saved one. @return whether the bytes could be decoded
     bool load(const std::string& bytes);
 
     [[nodiscard]] const std::optional<catalogue>& held_catalogue() const
     {
         return m_catalogue;
     }
-    /// @brief The keys of the held catalogue.
+    /// @brief The API keys of the current configuration.
     [[nodiscard]] const key_ring& keys() const
     {
         return m_keys;
     }
-    /// @brief What organisations may have running.
+    /// @brief Usage and limits of the organisations.
     [[nodiscard]] const quota_book& quotas() const
     {
         return m_quotas;
     }
-    /// @brief A queue of the held catalogue, or null. Complexity: constant.
+    /// @brief A queue of the current configuration, or null. Complexity: constant.
     [[nodiscard]] const queue_spec* find_queue(const std::string& name) const;
     /// @brief A submission, or null.
     [[nodiscard]] const submission* find(submission_id id) const;
@@ -97,33 +101,33 @@
     {
         return m_submissions;
     }
-    /// @brief A worker's life, or null.
+    /// @brief An incarnation of a worker, or null.
     [[nodiscard]] const worker_life* find(worker_life_id id) const;
     [[nodiscard]] const worker_life* find_life(const life_ref& life) const;
-    /// @brief The life that was admitted last under an id, or null.
+    /// @brief The incarnation that was added last with this worker id, or null.
     [[nodiscard]] const worker_life* find_id(const std::string& id) const;
-    /// @brief The life on a host, or null.
+    /// @brief The current incarnation on a host, or null.
     [[nodiscard]] const worker_life* find_host(const std::string& host) const;
     [[nodiscard]] const std::map<worker_life_id, worker_life>& workers() const
     {
         return m_workers;
     }
-    /// @brief Rises whenever a worker's life is admitted or dropped.
+    /// @brief Increases whenever an incarnation is added or removed or its description changes.
     [[nodiscard]] std::uint64_t workers_version() const
     {
         return m_workers_version;
     }
-    /// @brief Steps with waiting tasks whose dependencies are done, in no order of urgency.
+    /// @brief Steps with waiting tasks whose dependencies have completed, not ordered by urgency.
     [[nodiscard]] const std::set<step_ref>& ready() const
     {
         return m_ready;
     }
-    /// @brief Final submissions of which runs may still exist.
+    /// @brief Final submissions whose runs may still exist.
     [[nodiscard]] const std::set<submission_id>& closing() const
     {
         return m_closing;
     }
-    /// @brief Final submissions, oldest first, for forgetting.
+    /// @brief Final submissions, the first to be removed first.
     [[nodiscard]] const std::set<std::pair<wall_ms, submission_id>>& ended() const
     {
         return m_ended;
@@ -132,19 +136,19 @@
     {
         return m_waves;
     }
-    /// @brief Tasks that may take down the hosts that they run on.
+    /// @brief Evidence on tasks that may crash the hosts they run on.
     [[nodiscard]] const crash_ledger& crashes() const
     {
         return m_crashes;
     }
-    /// @brief Submissions of a queue none of whose tasks was started.
+    /// @brief Number of submissions of a queue that have not started any task.
     [[nodiscard]] std::uint32_t queued(const std::string& queue) const;
-    /// @brief Whether a run is still the one that its task needs.
+    /// @brief Whether a run is the active run of its task and its submission is not final.
     [[nodiscard]] bool wants(const run_ref& run) const;
-    /// @brief A task's record; null where there is none, also once its submission is over and nothing of it
+    /// @brief The state of a task; null if there is none, also once its submission is final and has no active
     /// runs.
     [[nodiscard]] const work_task* find(const task_ref& ref) const;
-    /// @brief A step as submitted; null as above.
+    /// @brief A step as submitted; null in the same cases as for a task.
     [[nodiscard]] const step_spec* find(const step_ref& ref) const;
 
   private:
@@ -155,7 +159,7 @@
         std::vector<worker_life> workers;
         std::vector<upkeep_wave> waves;
         std::uint32_t next_worker{};
-        std::vector<std::string> former_ids; ///< of snapshots that know no births
+        std::vector<std::string> former_ids; ///< from older snapshots without process start times
         std::vector<unheard_life> unheard;
         crash_ledger crashes;
         std::vector<life_ref> former;
@@ -210,17 +214,16 @@
     std::map<worker_life_id, worker_life> m_workers;
     std::map<std::uint64_t, upkeep_wave> m_waves;
     std::uint32_t m_next_worker = 1;
-    std::vector<life_ref>
-        m_former; ///< lives that are surely over, oldest first: a late report brings none back
-    std::vector<unheard_life> m_unheard; ///< dropped ones that said whether they leave, oldest first
+    std::vector<life_ref> m_former; ///< ended incarnations, oldest first: late reports of them are rejected
+    std::vector<unheard_life> m_unheard; ///< removed incarnations with a leaving state, oldest first
     crash_ledger m_crashes;
     quota_book m_quotas;
 
-    // Indexes over the above; not saved.
+    // Indexes derived from the above; not saved.
     key_ring m_keys;
     std::uint64_t m_workers_version = 1;
-    std::vector<submission_id> m_over; ///< ended by the command that is being applied
-    std::unordered_map<std::string, std::size_t> m_queue_places; ///< in the catalogue, by name
+    std::vector<submission_id> m_over; ///< submissions ended by the command that is being applied
+    std::unordered_map<std::string, std::size_t> m_queue_places; ///< positions in the configuration, by name
     std::map<life_ref, worker_life_id> m_by_life;
     std::map<std::string, worker_life_id> m_by_host;
     std::set<step_ref> m_ready;
@@ -229,7 +232,8 @@
     std::map<std::string, std::uint32_t> m_queued;
 };
 
-/// @brief What a task of a step takes from its host: filling tasks take no processors.
+/// @brief Resources that a task of a step reserves on its host: best-effort (`fills`) tasks reserve no
+/// processors.
 [[nodiscard]] resources room_of(const step_spec& step);
 
 } // namespace walkthread
--- a/src/policy/hall_choice.cpp
+++ b/src/policy/hall_choice.cpp
@@ -14,7 +14,7 @@
     bool known{};
 };
 
-constexpr double unknown_fill = 1000.0;
+constexpr double unknown_fill = 1000.0; // sorts halls of unknown load last
 
 bool is_known(const hall_load& load)
 {
@@ -68,7 +68,8 @@
     std::vector<candidate> candidates = find_candidates(halls, values, service ? 1 : values.tasks);
     if (candidates.empty())
     {
-        return state_error{state_code::never_runnable, "No hall that it may use has a host of this size."};
+        return state_error{state_code::never_runnable,
+                           "No hall that the job may use has a host large enough for one of its tasks."};
     }
     const bool any_known = std::any_of(candidates.begin(), candidates.end(),
                                        [](const candidate& c)
--- a/src/policy/job_queue.cpp
+++ b/src/policy/job_queue.cpp
@@ -10,21 +10,21 @@
     switch (reason)
     {
     case wait_reason::none:
-        return "It was not looked at yet.";
+        return "The job has not been examined yet.";
     case wait_reason::no_room:
-        return "No host has enough free at the moment.";
+        return "No host has enough free resources at the moment.";
     case wait_reason::too_large:
-        return "No host of the hall is large enough, even when empty.";
+        return "The task is larger than every host of the hall.";
     case wait_reason::quota:
         return "The team's quota in this hall is used up.";
     case wait_reason::held:
-        return "It failed on several hosts and is held; change or withdraw the configuration.";
+        return "The job failed on several hosts and is on hold; change or withdraw its configuration.";
     case wait_reason::gang_reserved:
-        return "Hosts are being kept free until the whole gang can start.";
+        return "Hosts are reserved until the whole gang can start.";
     case wait_reason::preempting:
-        return "Less urgent work is being stopped for it.";
+        return "Other tasks are being stopped to make room for the job.";
     case wait_reason::behind:
-        return "Earlier work in the order waits for room.";
+        return "Jobs earlier in the queue are waiting for free resources.";
     }
     return "?";
 }
--- a/src/policy/scheduler.cpp
+++ b/src/policy/scheduler.cpp
@@ -1,4 +1,4 @@
-// Queue order and planning; ways to place are in scheduler_place.cpp, preemption in scheduler_preempt.cpp.
+// Queue order and planning. Placement is in scheduler_place.cpp, preemption in scheduler_preempt.cpp.
 
 #include <walkthread/policy/scheduler.hpp>
 
@@ -10,7 +10,7 @@
 
 namespace
 {
-constexpr std::size_t max_jobs_per_plan = 4000;
+constexpr std::size_t max_jobs_per_plan = 4000; // bounds the duration of a plan
 constexpr std::size_t max_blocked_sizes = 32;
 } // namespace
 
@@ -46,7 +46,7 @@
 }
 
 // ---------------------------------------------------------------------------------------------------------
-// Following the state
+// State updates
 // ---------------------------------------------------------------------------------------------------------
 
 void scheduler::reset(const hall_state& state)
@@ -178,7 +178,7 @@
     return cursors;
 }
 
-// Moves a cursor that stands at the end of its level to the next level that has jobs.
+// Moves a cursor at the end of its level to the next lower level that has jobs.
 void scheduler::settle(cursor& c)
 {
     while (c.next == m_queue.jobs_of(c.organisation, c.level).end())
@@ -193,8 +193,9 @@
     }
 }
 
-// Urgent work of any organisation goes first; then the organisation furthest under its share. Levels below
-// urgent and ageing count only inside an organisation: between organisations they would undo the shares.
+// Urgent jobs of any organisation go first, then the organisation furthest below its share. Levels below
+// urgent and ageing only order the jobs within an organisation: across organisations they would override the
+// shares.
 scheduler::cursor* scheduler::choose(std::vector<cursor>& cursors, const plan_state& p)
 {
     cursor* best = nullptr;
--- a/src/policy/scheduler_place.cpp
+++ b/src/policy/scheduler_place.cpp
@@ -1,4 +1,4 @@
-// Ways to place: batch packs, services spread, gangs start whole with hosts kept free for them.
+// Placement: batch tasks are packed, services are spread, gangs start as a whole on reserved hosts.
 
 #include <walkthread/policy/scheduler.hpp>
 
@@ -23,7 +23,7 @@
     return found == counts.end() ? 0 : found->second;
 }
 
-constexpr std::int64_t overdue_part = 10; ///< an overdue run is taken to need a tenth of its time more
+constexpr std::int64_t overdue_part = 10; ///< overdue runs are assumed to need another tenth of their time
 } // namespace
 
 std::int64_t scheduler::predicted_ms(const job_spec& spec, const hall_state& state) const
@@ -55,7 +55,7 @@
     p.team_used[job.spec.team] += job.spec.values.size;
 }
 
-// Takes the hosts on which a job failed out of the index, for as long as it is placed.
+// Excludes the hosts on which a job failed from the index while the job is placed.
 std::vector<host_slot> scheduler::shun_failed_hosts(const hall_job& job)
 {
     std::vector<host_slot> shunned;
@@ -82,7 +82,7 @@
     }
     if (!shunned.empty())
     {
-        forget_blocked(); // what did not fit without these hosts may fit with them
+        forget_blocked(); // sizes that did not fit without these hosts may fit now
     }
     return reason;
 }
@@ -145,9 +145,9 @@
     return choose_reserved(need, ends, job.spec.id);
 }
 
-// Looks at a few racks. Takes the rack that runs the fewest tasks of this job, there a host that runs the
-// fewest of them, and among those the fullest: services share hosts with each other and leave whole ones for
-// larger work.
+// Examines a few racks. Chooses the rack with the fewest tasks of this job, there a host with the fewest of
+// them, and among those the one with the least free processors, so that services share hosts and leave empty
+// ones to larger tasks.
 std::optional<host_slot> scheduler::choose_spread(const hall_job& job, spread_counts& used)
 {
     const resources& need = job.spec.values.size;
@@ -219,11 +219,11 @@
 {
     if (job.on_hosts > 0)
     {
-        return wait_reason::no_room; // the rest of an earlier start is still being stopped
+        return wait_reason::no_room; // tasks of an earlier start are still being stopped
     }
     if (p.next_index[job.spec.id] > 0)
     {
-        return wait_reason::none; // this plan started it already
+        return wait_reason::none; // already started by this plan
     }
     const resources& need = job.spec.values.size;
     std::vector<std::pair<std::uint32_t, host_slot>> chosen;
@@ -302,7 +302,7 @@
     }
 }
 
-// When a host is expected to have room for one, two, three ... tasks of a size.
+// Times at which a host is expected to have free resources for one, two, three ... tasks of a size.
 std::vector<wall_ms> scheduler::room_times(host_slot slot, const resources& need, const plan_state& p) const
 {
     const host_view& host = m_pool.at(slot);
--- a/src/policy/scheduler_preempt.cpp
+++ b/src/policy/scheduler_preempt.cpp
@@ -1,4 +1,5 @@
-// Preemption: what is stopped, by checkpoint first, so that urgent work starts or a share is taken back.
+// Preemption: selects tasks to stop, after a checkpoint, so that urgent work can start or a share is
+// reclaimed.
 
 #include <walkthread/policy/scheduler.hpp>
 
--- a/src/workload/catalogue.cpp
+++ b/src/workload/catalogue.cpp
@@ -12,15 +12,16 @@
 {
     if (queue.name.empty() || queue.host.empty() || !queue.path_prefix.starts_with('/'))
     {
-        return "Queue \"" + queue.name + "\" lacks a name, a host or a path prefix.";
+        return "Queue \"" + queue.name +
+               "\" needs a name, a host and a path prefix that starts with a slash.";
     }
     if (queue.timeout_ms <= 0)
     {
-        return "Queue " + queue.name + " has no timeout.";
+        return "Queue " + queue.name + " needs a timeout above 0.";
     }
     if (!pools.contains(queue.pool))
     {
-        return "Queue " + queue.name + " names the unknown pool \"" + queue.pool + "\".";
+        return "Queue " + queue.name + " refers to the unknown pool \"" + queue.pool + "\".";
     }
     if (queue.max_attempts == 0 || queue.stretch < 0 || queue.target_latency_ms < 0)
     {
@@ -28,7 +29,7 @@
     }
     if (queue.advised && queue.advice.validity_ms <= 0)
     {
-        return "Queue " + queue.name + " has advice that is never valid.";
+        return "Queue " + queue.name + " needs an advice validity above 0.";
     }
     return std::nullopt;
 }
@@ -41,7 +42,7 @@
     {
         if (pool.name.empty() || !pools.insert(pool.name).second)
         {
-            return "Pool \"" + pool.name + "\" has no name or stands twice.";
+            return "Pool \"" + pool.name + "\" has an empty or duplicate name.";
         }
     }
     std::set<std::string> names;
@@ -54,11 +55,11 @@
         }
         if (!names.insert(queue.name).second)
         {
-            return "Queue " + queue.name + " stands twice.";
+            return "Queue " + queue.name + " is defined twice.";
         }
         if (!places.insert({queue.host, queue.path_prefix}).second)
         {
-            return "Queue " + queue.name + " has the host and prefix of another queue.";
+            return "Queue " + queue.name + " has the same host and path prefix as another queue.";
         }
     }
     return find_fault(candidate.organisations);
--- a/src/workload/crash_ledger.cpp
+++ b/src/workload/crash_ledger.cpp
@@ -8,9 +8,9 @@
 
 namespace
 {
-constexpr std::size_t most_unheard = 1000; // hosts that went dark and came to no end yet: a hall at full size
-constexpr std::size_t verdicts_kept = 100; // for operators; logs have them all
-constexpr std::size_t charges_kept = 16;   // of one task: each leader since tells of the last few alone
+constexpr std::size_t most_unheard = 1000; // all hosts of a hall at its maximum size
+constexpr std::size_t verdicts_kept = 100; // for operators; the log has all of them
+constexpr std::size_t charges_kept = 16;   // per task; a new leader reports only the last few runs again
 } // namespace
 
 void crash_ledger::note_unheard(const std::string& host, const life_ref& life, std::vector<lost_run> lost)
@@ -50,7 +50,7 @@
     }
     forget(*found);
     std::vector<lost_run> lost;
-    if (life_ref{found->id, found->born} != life) // the same life was cut off and is back
+    if (life_ref{found->id, found->born} != life) // otherwise it was only partitioned
     {
         lost = std::move(found->lost);
     }
@@ -58,7 +58,7 @@
     return lost;
 }
 
-// Its runs are no longer in doubt, whichever way that came out.
+// Whether the host crashed or not, its runs are no longer unconfirmed losses.
 void crash_ledger::forget(const unheard_host& host)
 {
     for (const lost_run& item : host.lost)
@@ -66,7 +66,7 @@
         const auto suspect = m_suspects.find(item.run.task);
         if (suspect == m_suspects.end() || suspect->second.unproven == 0)
         {
-            continue; // cleared meanwhile
+            continue; // cleared in the meantime
         }
         if (--suspect->second.unproven == 0 && suspect->second.charged.empty())
         {
--- a/src/workload/organisation.cpp
+++ b/src/workload/organisation.cpp
@@ -12,7 +12,7 @@
 
 namespace
 {
-using key_holders = std::map<std::string_view, std::string_view>; // organisations by key
+using key_holders = std::map<std::string_view, std::string_view>; // organisation names by API key
 
 std::optional<std::string> find_key_fault(const organisation_spec& organisation, key_holders& holders)
 {
@@ -42,7 +42,7 @@
     {
         if (organisation.name.empty() || !names.insert(organisation.name).second)
         {
-            return "Organisation \"" + organisation.name + "\" has no name or stands twice.";
+            return "Organisation \"" + organisation.name + "\" has an empty or duplicate name.";
         }
         const double weight = organisation.weight;
         if (!std::isfinite(weight) || weight < 0 || weight > largest_weight)
--- a/src/workload/workload_indexes.cpp
+++ b/src/workload/workload_indexes.cpp
@@ -1,4 +1,4 @@
-// The part of workload_state that keeps phases and indexes, and snapshots.
+// Parts of workload_state: submission phases, indexes and snapshots.
 
 #include <walkthread/workload/workload_state.hpp>
 
@@ -30,7 +30,7 @@
     }
     else
     {
-        m_over.push_back(owner.id); // its details may be in use by who called this
+        m_over.push_back(owner.id); // the caller may still use its details
     }
     m_ready.erase(m_ready.lower_bound(step_ref{owner.id, round_id{0}, 0}),
                   m_ready.upper_bound(step_ref{owner.id, round_id{UINT32_MAX}, UINT32_MAX}));
--- a/src/workload/workload_lives.cpp
+++ b/src/workload/workload_lives.cpp
@@ -1,4 +1,4 @@
-// The part of workload_state that knows workers' lives: which are there, which are over, which leave.
+// Parts of workload_state: incarnations of workers, when they are added, when they end and when they leave.
 
 #include <walkthread/workload/workload_state.hpp>
 
@@ -9,8 +9,8 @@
 
 namespace
 {
-constexpr std::size_t max_former_lives =
-    1000; // a late report comes within seconds; a restart wave is hundreds
+// Late reports arrive within seconds, and a mass restart concerns hundreds of workers.
+constexpr std::size_t max_former_lives = 1000;
 } // namespace
 
 workload_result workload_state::handle(wall_ms at, const admit_worker& command)
@@ -31,7 +31,8 @@
     }
     if (std::find(m_former.begin(), m_former.end(), life) != m_former.end())
     {
-        return {static_cast<std::int32_t>(workload_code::former_worker), "This life of the worker is over."};
+        return {static_cast<std::int32_t>(workload_code::former_worker),
+                "This incarnation of the worker has ended."};
     }
     const std::string& host = command.facts.host;
     std::vector<lost_run> crashed = m_crashes.take_crashed(host, life);
@@ -77,9 +78,9 @@
     m_by_host[command.facts.host] = id;
 }
 
-// An order that was meant for the former life may have been carried out by the new one under the same id:
-// started elsewhere at once, its task ran twice. So each run stays where it is until the new life rules it
-// out.
+// The new incarnation may have executed an order that was meant for the former one with the same id. A task
+// that is restarted elsewhere immediately could then run twice, so each run stays assigned to this worker
+// until the new incarnation is known not to have it.
 void workload_state::carry_over(wall_ms at, const admit_worker& command, worker_life_id former)
 {
     const worker_life before = m_workers[former];
@@ -124,7 +125,7 @@
 {
     if (worker.leaving_sequence == 0)
     {
-        return; // it never said that it leaves
+        return; // it never announced that it leaves
     }
     m_unheard.push_back({worker.facts.id, worker.leaving_sequence, worker.leaving, worker.facts.born});
     if (m_unheard.size() > max_former_lives)
@@ -133,8 +134,8 @@
     }
 }
 
-// The report that admits a life again may be older than the one in which it said that it leaves: with what
-// was acknowledged forgotten, it got new work until its next report.
+// The report that adds an incarnation again may be older than the acknowledged one that announced its
+// leaving. Without the stored leaving state, the worker would get new work until its next report.
 void workload_state::recall_unheard(worker_life& worker)
 {
     const auto found = std::find_if(m_unheard.begin(), m_unheard.end(),
@@ -150,7 +151,7 @@
     }
 }
 
-// A new life after the platform took the order: the host is through.
+// A new incarnation after the platform accepted the order means that the host's maintenance has finished.
 void workload_state::finish_upkeep(const std::string& host)
 {
     for (auto& [number, wave] : m_waves)
--- a/src/workload/workload_runs.cpp
+++ b/src/workload/workload_runs.cpp
@@ -1,4 +1,4 @@
-// The part of workload_state that takes starts and ends in.
+// Parts of workload_state: starts and ends of runs.
 
 #include <walkthread/workload/workload_state.hpp>
 
@@ -16,7 +16,7 @@
     {
         return false;
     }
-    // Checked here as well, so that no leader can start there whatever it believes of the worker.
+    // Checked here as well, since a leader may propose a start on the basis of outdated knowledge.
     if (worker->leaving || worker->assumed)
     {
         return false;
@@ -111,7 +111,7 @@
     }
 }
 
-// Of a submission that is over only its outcome is asked for: the rest would be most of the state.
+// Callers only ask for the outcome of a final submission; its details would make up most of the state.
 void workload_state::drop_details(submission& owner)
 {
     owner.spec = submission_spec{};
@@ -122,7 +122,7 @@
 {
     const auto how = static_cast<run_end>(end.how);
     const bool known = worker.occupied.contains(end.run);
-    release(worker, end.run); // of a final submission this may drop the details
+    release(worker, end.run); // may drop the details of a final submission
     const auto found = m_submissions.find(end.run.task.step.submission);
     work_task* task = task_of(end.run.task);
     if (!known || found == m_submissions.end() || task == nullptr)
@@ -262,7 +262,7 @@
     m_workers.erase(found);
 }
 
-// What lasts is to be started again however it ends.
+// Tasks of a long-running step are restarted however they end, so they are never failed.
 bool workload_state::may_be_given_up(const run_ref& run) const
 {
     const submission* owner = find(run.task.step.submission);
@@ -272,8 +272,8 @@
            task->state() != work_phase::completed;
 }
 
-// A run that ended because its host crashed is started again like any that lapsed, but not for ever: a task
-// that crashes every host it is started on would take one host after the other away.
+// A run that ended because its host crashed is restarted like any lapsed run, but not indefinitely: a task
+// that crashes every host it runs on would take down one host after the other.
 void workload_state::accuse(wall_ms at, const std::string& host, const std::vector<lost_run>& lost)
 {
     for (const lost_run& item : lost)
@@ -285,7 +285,7 @@
     }
 }
 
-// All that runs on a host dies by our own order when its upkeep begins.
+// Maintenance ends all runs on a host on purpose, so their loss is not crash evidence.
 bool workload_state::in_upkeep(const std::string& host) const
 {
     return std::any_of(m_waves.begin(), m_waves.end(),
--- a/src/workload/workload_state.cpp
+++ b/src/workload/workload_state.cpp
@@ -8,9 +8,9 @@
 
 namespace
 {
-constexpr std::uint32_t max_tasks = 4096;            // the same, for one submission and round
-constexpr std::uint32_t max_rounds = 1000;           // the same
-constexpr std::size_t max_open_submissions = 20'000; // bounds memory: about 1 KB each
+constexpr std::uint32_t max_tasks = 4096;            // per submission and round; far above what callers send
+constexpr std::uint32_t max_rounds = 1000;           // far above what callers send
+constexpr std::size_t max_open_submissions = 20'000; // bounds memory, at about 1 KB each
 
 workload_result refuse(workload_code code, std::string detail)
 {
@@ -42,7 +42,7 @@
 {
     if (spec.steps.empty() || spec.steps.size() > most_steps)
     {
-        return "A submission has between 1 and " + std::to_string(most_steps) + " steps.";
+        return "A submission must have between 1 and " + std::to_string(most_steps) + " steps.";
     }
     std::uint64_t tasks = 0;
     for (std::uint32_t i = 0; i < spec.steps.size(); ++i)
@@ -52,18 +52,18 @@
         tasks += step.count;
         if (step.count == 0 || tasks > max_tasks)
         {
-            return name + ": a step has at least one task, all steps at most " + std::to_string(max_tasks) +
-                   '.';
+            return name + ": a step needs at least one task, and all steps together may have at most " +
+                   std::to_string(max_tasks) + '.';
         }
         if (step.size.cpu < 0 || step.size.memory < 0 || step.size.accelerators < 0 || step.estimate_ms < 0)
         {
-            return name + ": a size or an estimate is negative.";
+            return name + ": a resource size or the run time estimate is negative.";
         }
         for (const std::uint32_t earlier : step.after)
         {
             if (earlier >= i)
             {
-                return name + ": it may only depend on earlier steps.";
+                return name + ": a step may only depend on earlier steps.";
             }
         }
     }
@@ -204,7 +204,8 @@
     {
         return known->queue == command.queue && known->organisation == command.organisation
                    ? workload_result{}
-                   : refuse(workload_code::id_in_use, "Another submission has this id.");
+                   : refuse(workload_code::id_in_use,
+                            "A submission of another queue or organisation has this id.");
     }
     const queue_spec* queue = find_queue(command.queue);
     if (queue == nullptr)
@@ -217,7 +218,7 @@
     }
     if (m_submissions.size() - m_ended.size() >= max_open_submissions)
     {
-        return refuse(workload_code::too_many, "Too many submissions wait.");
+        return refuse(workload_code::too_many, "Too many unfinished submissions.");
     }
     submission kept;
     kept.id = command.id;
@@ -312,7 +313,8 @@
 {
     if (command.hosts.empty() || command.at_once == 0)
     {
-        return refuse(workload_code::bad_wave, "A wave names at least one host and a limit above 0.");
+        return refuse(workload_code::bad_wave,
+                      "A maintenance wave needs at least one host and a limit above 0.");
     }
     if (m_waves.contains(command.wave))
     {
--- a/tests/src/count_allocations.hpp
+++ b/tests/src/count_allocations.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// Counts every allocation of the program that links count_allocations.cpp.
+// Counts all allocations with `operator new` in a program that links count_allocations.cpp.
 
 #include <cstdint>
 
--- a/tests/src/hall_fixture.hpp
+++ b/tests/src/hall_fixture.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// A hall filled to a wanted size, for tests and benchmarks of decisions. Virtual time only.
+// A hall of a given size for tests and benchmarks of scheduling decisions. Uses virtual time.
 
 #include <cstdint>
 #include <random>
@@ -60,7 +60,7 @@
         return spec.id;
     }
 
-    // One plan, applied. Says how many tasks were placed.
+    // Makes one plan and applies it. Returns the number of placed tasks.
     std::uint32_t plan(std::size_t limit = 512)
     {
         m_scheduler.take(m_state.take_changes(), m_state);
@@ -74,7 +74,7 @@
         return answer.applied;
     }
 
-    // Plans until nothing more fits.
+    // Plans until no more tasks can be placed. Returns the number of placed tasks.
     std::uint32_t plan_all()
     {
         std::uint32_t placed = 0;
@@ -154,7 +154,7 @@
     schedule m_last;
 };
 
-// A hall with eight tasks a worker running, a fifth of them services, and a tenth of its hosts' room free.
+// Fills a hall with seven tasks per worker; a fifth of the jobs are services.
 inline void fill(hall_fixture& hall, std::uint32_t workers)
 {
     hall.add_workers(workers);
@@ -171,7 +171,7 @@
     hall.start_everything();
 }
 
-// Large jobs of several sizes; those that still fit start, the others wait.
+// Adds large jobs of several sizes; those that fit are started, the others wait.
 inline void add_waiting(hall_fixture& hall, std::uint32_t tasks)
 {
     constexpr std::uint32_t per_job = 20;
--- a/tests/src/unit-crash-ledger.cpp
+++ b/tests/src/unit-crash-ledger.cpp
@@ -7,7 +7,7 @@
 
 using namespace walkthread;
 
-// What counts against a task when its host is lost, in the replicated state alone.
+// Crash evidence in the replicated state.
 
 namespace
 {
@@ -46,7 +46,7 @@
     {
         return {{submission_id{1}, round_id{0}, 0}, 0};
     }
-    // Another life on the one host.
+    // Adds another incarnation on the only host.
     void admit()
     {
         const std::string life = "life" + std::to_string(++lives);
@@ -56,7 +56,7 @@
     {
         return state.find_host("host")->id;
     }
-    // The task is started there, and the host is lost.
+    // Starts the task on the host and loses the host.
     void lose(bool for_good, std::uint32_t share, bool began = true)
     {
         state.apply(noon, record_starts{{planned_start{task(), ++runs, present()}}});
@@ -86,7 +86,7 @@
     for (int crash = 1; crash <= 5; ++crash)
     {
         BOOST_TEST((phase() == submission_phase::failed) == false);
-        lose(true, 0); // no share is under the least
+        lose(true, 0); // raised to the minimum share
         admit();
     }
     BOOST_TEST((phase() == submission_phase::failed));
@@ -103,7 +103,8 @@
     BOOST_TEST((phase() == submission_phase::running));
 }
 
-// Orders to hosts that were down by then: work that never began was given up after one crash.
+// Guards against failing a task after a single crash because of start orders that were sent to hosts that
+// were already down.
 BOOST_FIXTURE_TEST_CASE(runs_that_may_never_have_begun_convict_nobody, fixture)
 {
     lose(true, blame::sole);
@@ -117,7 +118,7 @@
     BOOST_TEST(state.crashes().find(task())->blame == blame::sole);
 }
 
-// Leaders that follow each other may each tell of the same loss.
+// Successive leaders may report the same loss.
 BOOST_AUTO_TEST_CASE(a_run_is_charged_once)
 {
     crash_ledger ledger;
@@ -126,12 +127,12 @@
     BOOST_TEST(!ledger.accuse(newer, "host"));
     BOOST_TEST(!ledger.accuse(newer, "host"));
     BOOST_TEST(ledger.find(fixture::task())->crashes == 1U);
-    BOOST_TEST(!ledger.accuse(older, "other")); // proven later than the newer one
+    BOOST_TEST(!ledger.accuse(older, "other")); // confirmed after the newer run
     BOOST_TEST(ledger.find(fixture::task())->crashes == 2U);
     BOOST_TEST(ledger.find(fixture::task())->blame == blame::sole + blame::least);
 }
 
-// The other submission may be the one at fault.
+// The other submission may have caused the crashes.
 BOOST_FIXTURE_TEST_CASE(two_crashes_are_not_enough_where_another_submission_had_begun_beside, fixture)
 {
     lose(true, blame::sole);
@@ -143,7 +144,8 @@
     BOOST_TEST((phase() == submission_phase::failed));
 }
 
-// It stood beside three crashes, and was given up after others that were none of its doing.
+// Guards against failing a task that was running during three crashes because of further crashes that other
+// work caused: no other submission may start on its host.
 BOOST_FIXTURE_TEST_CASE(a_host_on_which_a_task_runs_that_was_lost_three_times_is_watched, fixture)
 {
     suspect_watch watch(state.crashes(), milliseconds(700));
@@ -182,7 +184,7 @@
     BOOST_TEST(state.crashes().find(task())->unproven == 1U);
     BOOST_TEST(state.crashes().find(task())->blame == 0U);
     --lives;
-    admit(); // the same life: it was cut off
+    admit(); // the same incarnation: it was partitioned
     BOOST_TEST(state.crashes().find(task()) == nullptr);
     lose(false, blame::sole);
     admit();
@@ -223,7 +225,7 @@
     BOOST_REQUIRE(copy.load(bytes));
     BOOST_TEST(copy.crashes().find(task())->blame == blame::sole);
 
-    // As written before there was such a part: its elements end before it.
+    // Snapshots of versions without crash evidence have fewer elements.
     constexpr std::uint32_t elements_before = 7;
     const msgpack::object_handle whole = msgpack::unpack(bytes.data(), bytes.size());
     msgpack::object shorter = whole.get();
--- a/tests/src/unit-decision-cost.cpp
+++ b/tests/src/unit-decision-cost.cpp
@@ -1,4 +1,4 @@
-// Bounds on counted work of decisions. They hold whatever the machine's speed.
+// Limits on the counted work of scheduling decisions, independent of the machine's speed.
 
 #define BOOST_TEST_MODULE decision_cost
 #include <boost/test/unit_test.hpp>
@@ -20,7 +20,7 @@
     double jobs = 0;
 };
 
-// Cost of one placement when many tasks wait that do not fit, and small ones come in between.
+// Cost of one placement of small tasks while many large tasks wait that do not fit.
 decision_cost measure(std::uint32_t workers)
 {
     hall_fixture hall;
--- a/tests/src/unit-hall.cpp
+++ b/tests/src/unit-hall.cpp
@@ -39,7 +39,7 @@
 }
 } // namespace
 
-// A stale leader's plan: applying it again, or after the host filled up, has no effect.
+// The plan of a former leader has no effect when applied again or after its host was filled.
 BOOST_AUTO_TEST_CASE(a_stale_plan_has_no_effect)
 {
     hall_fixture hall;
@@ -47,13 +47,13 @@
     const job_id first = hall.submit(hall.make_job(workload_kind::batch, 1, whole));
     const job_id second = hall.submit(hall.make_job(workload_kind::batch, 1, whole));
     BOOST_TEST(hall.apply(place_tasks{{place(hall, first, 1)}}).applied == 1U);
-    BOOST_TEST(hall.apply(place_tasks{{place(hall, first, 2)}}).applied == 0U);  // in two places
-    BOOST_TEST(hall.apply(place_tasks{{place(hall, second, 1)}}).applied == 0U); // over the host's size
+    BOOST_TEST(hall.apply(place_tasks{{place(hall, first, 2)}}).applied ==
+               0U); // already placed on another host
+    BOOST_TEST(hall.apply(place_tasks{{place(hall, second, 1)}}).applied == 0U); // does not fit on the host
     placement old_epoch = place(hall, second, 2);
     old_epoch.epoch = epoch_id{9};
     BOOST_TEST(hall.apply(place_tasks{{old_epoch}}).applied == 0U);
-    BOOST_TEST(hall.apply(place_tasks{{place(hall, second, 2, 2)}}).applied ==
-               0U); // a run that is not the next
+    BOOST_TEST(hall.apply(place_tasks{{place(hall, second, 2, 2)}}).applied == 0U); // not the next run number
     BOOST_TEST(hall.state().check() == "");
 }
 
@@ -97,7 +97,8 @@
     BOOST_TEST(hall.state().jobs().at(spec.id).outcome == static_cast<std::uint8_t>(job_outcome::unknown));
 }
 
-// Its worker's lease ended before the worker had found the leader that placed it: the job ended as unknown.
+// Guards against ending a job with an unknown outcome when the worker's lease expired before the worker had
+// contacted the leader that placed the task.
 BOOST_AUTO_TEST_CASE(a_not_repeatable_task_whose_worker_was_never_told_of_it_runs_elsewhere)
 {
     for (const bool registers : {false, true})
@@ -129,7 +130,7 @@
     }
 }
 
-// Whoever stops it: a run that had begun may have done its work in part.
+// A run that has started may have done part of its work, whoever stops it.
 BOOST_AUTO_TEST_CASE(a_not_repeatable_task_that_was_stopped_never_runs_again)
 {
     for (const run_event end : {run_event::stopped, run_event::checkpointed})
@@ -190,7 +191,8 @@
     BOOST_TEST(hall.running_in(job) == 1U);
 }
 
-// A registration that was delayed, for instance at a frozen gateway, must not free what runs since.
+// A delayed registration, for example from a frozen gateway, must not end runs that started after it was
+// sent.
 BOOST_AUTO_TEST_CASE(a_delayed_copy_of_a_registration_frees_nothing)
 {
     hall_fixture hall;
@@ -217,7 +219,7 @@
     BOOST_TEST(hall.state().jobs().empty());
 }
 
-// A snapshot says everything: a state loaded from it goes on exactly like the one that was saved.
+// A snapshot is complete: a state loaded from it equals the saved one.
 BOOST_AUTO_TEST_CASE(a_loaded_state_equals_the_saved_one)
 {
     hall_fixture hall;
@@ -228,8 +230,8 @@
     BOOST_TEST(!copy.load("garbage"));
 }
 
-// Random work, reports, losses, drains, cancellations and stale repeats: after each step the books must
-// balance, and nothing that is not repeatable has a second run.
+// Random jobs, reports, lost workers, drains, cancellations and stale plans: after each step the state is
+// consistent, and no job that is not repeatable has a second run.
 BOOST_AUTO_TEST_CASE(no_host_is_over_its_size_whatever_happens)
 {
     for (std::uint64_t seed = 1; seed <= 200; ++seed)
@@ -301,7 +303,8 @@
     }
 }
 
-// The leader counts a lease from its answer, the worker from its question: a late answer cannot live late.
+// The leader measures a lease from its answer, the worker from its request, so a delayed answer cannot extend
+// the lease at the worker.
 BOOST_AUTO_TEST_CASE(a_lease_is_over_at_the_worker_before_the_leader_counts_it_so)
 {
     const duration lease = seconds(10);
--- a/tests/src/unit-organisations.cpp
+++ b/tests/src/unit-organisations.cpp
@@ -25,7 +25,7 @@
     return out;
 }
 
-// Queue "closed" wants keys, queue "open" does not. Hens may run three cores at once, geese have no limit.
+// Queue "closed" requires keys, queue "open" does not. Hens are limited to three cores, geese have no limit.
 catalogue make_catalogue(std::uint64_t version)
 {
     catalogue out;
@@ -76,7 +76,7 @@
         command.spec.steps.push_back(step);
         return apply(command);
     }
-    // Starts that many tasks of a submission's step; says how many runs it then has.
+    // Starts `count` tasks of a submission's step. Returns the number of its active tasks.
     std::uint32_t start(std::uint64_t id, std::uint32_t count)
     {
         record_starts command;
@@ -155,7 +155,7 @@
 }
 
 // ---------------------------------------------------------------------------------------------------------
-// Who may call
+// Access control
 // ---------------------------------------------------------------------------------------------------------
 
 BOOST_FIXTURE_TEST_CASE(a_held_key_opens_its_organisations_queue, fixture)
@@ -304,7 +304,7 @@
     BOOST_TEST(copy.save() == state.save());
 }
 
-// The command as the program before organisations wrote it.
+// The command in the format of versions without organisations.
 BOOST_FIXTURE_TEST_CASE(an_older_log_entry_is_a_submission_of_nobody, fixture)
 {
     older_keep_submission older{submission_id{3}, "closed", {}};
--- a/tests/src/unit-root.cpp
+++ b/tests/src/unit-root.cpp
@@ -68,7 +68,7 @@
     BOOST_TEST(root.apply(4, other).code == static_cast<int>(state_code::request_id_reused));
 }
 
-// The leader's choice of halls may differ when a command is told again; it is the same command.
+// A command that is sent again is the same command, even if the leader now chooses other halls.
 BOOST_AUTO_TEST_CASE(a_resend_with_another_choice_of_halls_is_the_same_command)
 {
     root_state root = with_template();
--- a/tests/src/unit-scheduler.cpp
+++ b/tests/src/unit-scheduler.cpp
@@ -77,7 +77,7 @@
     BOOST_TEST(hall.running_in(gang) == 4U);
 }
 
-// While hosts are kept for a gang, only work that ends before its start may use them.
+// While hosts are reserved for a gang, only tasks that end before its expected start may use them.
 BOOST_AUTO_TEST_CASE(short_work_is_backfilled_before_a_gang)
 {
     hall_fixture hall;
@@ -131,7 +131,7 @@
     BOOST_TEST(hall.running_in(loser) == 1U);
 }
 
-// Preemption stops at the loser's guarantee: with equal weights, half of the pool.
+// Preemption leaves the victim's organisation its guaranteed share: with equal weights, half of the hosts.
 BOOST_AUTO_TEST_CASE(preemption_leaves_the_losers_guarantee)
 {
     hall_fixture hall;
@@ -229,7 +229,7 @@
     BOOST_TEST(estimate.predict_ms(60) < 900'000);
 }
 
-// A scheduler made anew from the state decides like one that followed every change.
+// A scheduler rebuilt from the state has the same waiting jobs as one that applied every change.
 BOOST_AUTO_TEST_CASE(a_new_leaders_scheduler_knows_all)
 {
     hall_fixture hall;
--- a/tests/src/unit-workload.cpp
+++ b/tests/src/unit-workload.cpp
@@ -38,7 +38,7 @@
     return step;
 }
 
-// A state with one queue, two workers of four cores and submission 1.
+// A state with one queue and two workers with four cores each.
 struct fixture
 {
     workload_state state;
@@ -195,7 +195,7 @@
 {
     keep(1, {make_step(2, true)});
     apply(record_starts{{{task(1, 0, 0), 1, first}, {task(1, 0, 1), 1, second}}});
-    apply(drop_worker{second, false}); // its lease was over; the other member had ended before
+    apply(drop_worker{second, false}); // its lease has expired; the other member had completed before
     end(task(1, 0, 0), 1, first, run_end::completed);
     BOOST_TEST((phase(1) == submission_phase::completed));
 }
@@ -347,7 +347,8 @@
     BOOST_TEST(!parse_submission_id("5c0e7a21d94b36fg").has_value());
 }
 
-// Random commands: the sums hold after each, and a loaded copy goes on alike.
+// Random commands: after each, the usage of a worker equals the sum over its runs and fits its size. A state
+// loaded from a snapshot has the same indexes.
 BOOST_AUTO_TEST_CASE(random_commands_keep_the_sums_and_survive_a_snapshot)
 {
     for (std::uint64_t seed = 1; seed <= 60; ++seed)
