--- a/tests/src/unit-hall.cpp
+++ b/tests/src/unit-hall.cpp
@@ -64,8 +64,9 @@
     const job_id gang = hall.submit(hall.make_job(workload_kind::gang, 3, whole));
     const place_tasks part{{place(hall, gang, 1), place(hall, gang, 2, 1, 1)}};
     BOOST_TEST(hall.apply(part).applied == 0U);
-    const place_tasks over{{place(hall, gang, 1), place(hall, gang, 2, 1, 1), place(hall, gang, 2, 1, 2)}};
-    BOOST_TEST(hall.apply(over).applied == 0U);
+    const place_tasks over_capacity{
+        {place(hall, gang, 1), place(hall, gang, 2, 1, 1), place(hall, gang, 2, 1, 2)}};
+    BOOST_TEST(hall.apply(over_capacity).applied == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(a_host_is_freed_only_when_the_stop_is_confirmed)
