--- a/bench/bench_dispatch.cpp
+++ b/bench/bench_dispatch.cpp
@@ -1,4 +1,4 @@
-// Cost of the leader's decisions, with workers and advisor as stand-ins in virtual time.
+// Cost of the leader's decisions, with simulated workers and advisor in virtual time.
 
 #include <benchmark/benchmark.h>
 
@@ -9,7 +9,7 @@
 using namespace walkthread;
 using namespace walkthread::test;
 
-// Five virtual seconds of the grown deployments' load for the given number of workers.
+// Five virtual seconds of the load of a large deployment, scaled to the given number of workers.
 void dispatch_seconds(benchmark::State& state)
 {
     const auto workers = static_cast<std::size_t>(state.range(0));
--- a/bench/bench_leader.cpp
+++ b/bench/bench_leader.cpp
@@ -1,9 +1,9 @@
-// Cost of a whole leader: its decisions, its calls to workers over HTTP, its log. Workers are stand-ins on a
-// thread of their own, over loopback; only the leader's thread is counted.
+// Cost of a complete leader: its decisions, its HTTP calls to workers, its log. Workers are simulated on a
+// separate thread over loopback; only the leader's thread is measured.
 //
 //     walkthread_leader_bench WORKERS [SECONDS]
 //
-// prints the leader's processor time a task run, in microseconds.
+// prints the leader's processor time per task run, in microseconds.
 
 #include <cstdio>
 #include <filesystem>
@@ -49,7 +49,7 @@
            std::to_string(worker_port);
 }
 
-/// Workers that run what they are told, on one thread.
+/// Simulated workers on one thread, which report a run as done after its run time.
 class worker_farm
 {
   public:
@@ -194,7 +194,7 @@
     std::thread m_thread;
 };
 
-/// One leader without other replicas, and its load: the users' kinds in the users' proportions.
+/// A leader without other replicas and its load, in the proportions of the known workloads.
 class leader_run
 {
   public:
--- a/include/walkthread/dispatch/candidate.hpp
+++ b/include/walkthread/dispatch/candidate.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// @brief What the dispatcher weighs: steps that may be started, hosts that may take their tasks, and room
-/// that is kept.
+/// @brief Inputs of a placement decision: steps that may be started, hosts that may take their tasks, and
+/// capacity that is held.
 /// @since 0.6
 
 #include <cstdint>
@@ -18,7 +18,7 @@
 namespace walkthread
 {
 
-/// @brief A step that may be started, with its place in the order.
+/// @brief A step that may be started, with what determines its rank.
 struct step_candidate
 {
     step_ref ref{};
@@ -28,11 +28,12 @@
     pool_number pool{};
     outlook chance{};
     double slack_ms{};
-    double run_ms = std::numeric_limits<double>::infinity(); ///< of one task, expected
-    bool reserved{};                                         ///< a gang with room reserved for it
+    double run_ms = std::numeric_limits<double>::infinity(); ///< expected, for one task
+    bool reserved{};                                         ///< a gang that has a reservation
     std::uint32_t permitted{};                               ///< tasks that its organisation may still start
-    bool lost_before{};                                      ///< a run of it went with its host
-    /// Tasks of this step and round that run on a host or are about to, where the step limits them.
+    bool lost_before{};                                      ///< a run of it was lost together with its host
+    /// Tasks of this step and round that run on a host or are about to; set only if the step limits tasks per
+    /// host.
     std::map<worker_life_id, std::uint32_t> placed;
     [[nodiscard]] bool missed() const
     {
@@ -42,45 +43,46 @@
     {
         return queue != nullptr && queue->priority == 0;
     }
-    /// Whether its questions to the advisor go ahead of others'.
+    /// Whether its advisor queries are sent before those of other steps.
     [[nodiscard]] bool presses() const
     {
         return urgent() || step->lasting;
     }
 };
 
-/// @brief Room kept for a gang until all of its tasks can start together, or for large tasks until it is
+/// @brief Capacity held for a gang until all of its tasks can start together, or for large tasks until it is
 /// free.
 struct room_hold
 {
-    std::map<worker_life_id, std::uint32_t> tasks; ///< how many on each host
+    std::map<worker_life_id, std::uint32_t> tasks; ///< number of tasks on each host
     std::uint32_t total{};                         ///< the sum of `tasks`
-    resources each{};                              ///< what one task takes
-    bool missed{};                                 ///< the gang was late when it began to hold
-    monotonic_time grew{};                         ///< when `total` last rose
-    bool gathers = true;                           ///< a gang's; false: hosts kept for large tasks
-    bool ahead{};              ///< a reservation for all tasks of a gang, also where the room is not free yet
-    bool first{};              ///< a reservation of the gang of its pool that has waited for longest
-    monotonic_time due{};      ///< of a reservation: when all of the room is there, as forecast last
-    monotonic_time promised{}; ///< the earliest forecast of that: others use the room until then only
+    resources each{};                              ///< what one task needs
+    bool missed{};                                 ///< the gang was already late when the hold began
+    monotonic_time grew{};                         ///< when `total` last increased
+    bool gathers = true; ///< true for a gang that gathers capacity, false for hosts held for large tasks
+    bool ahead{};        ///< a reservation for all tasks of a gang, including capacity that is not free yet
+    bool first{};        ///< a reservation of the gang that has waited longest in its pool
+    /// Of a reservation: when all capacity is expected to be free, by the latest forecast.
+    monotonic_time due{};
+    monotonic_time promised{}; ///< the earliest forecast of `due`: others may backfill until then only
 };
 
-/// @brief A worker that a step's tasks may go to.
+/// @brief A worker that may take tasks of a step.
 struct host_offer
 {
     const worker_life* worker{};
-    resources room{};        ///< free now
-    std::uint32_t slots{};   ///< tasks of the step that fit now
-    std::uint32_t whole{};   ///< tasks that would fit if nothing ran there
-    bool near{};             ///< in the rack with the data
-    bool held{};             ///< the room is held for a gang, its own or another
-    bool keeps_large{};      ///< a task there takes no room from gangs
-    double speed{};          ///< learned, 1 is usual
-    bool slow{};             ///< clearly slower than most
-    bool watched{};          ///< a task that may crash the host was started there just now
-    int doubt{};             ///< whether it can be reached, though no call to it has failed: less is better
-    bool disturbs{};         ///< filling work would go beside serving work, or the other way round
-    std::string_view ticket; ///< "-" where none is needed, empty where none counts
+    resources room{};      ///< currently free
+    std::uint32_t slots{}; ///< tasks of the step that fit now
+    std::uint32_t whole{}; ///< tasks that would fit on the empty host
+    bool near{};           ///< in the rack that holds the data
+    bool held{};           ///< the capacity is held for a gang, this one or another
+    bool keeps_large{};    ///< a task there takes no capacity from gangs
+    double speed{};        ///< learned, 1 is typical
+    bool slow{};           ///< clearly slower than most
+    bool watched{};        ///< a crash suspect was started there recently
+    int doubt{};     ///< penalty if it may be unreachable although no call to it has failed: less is better
+    bool disturbs{}; ///< would put filling work beside serving work, or the reverse
+    std::string_view ticket; ///< "-" if none is needed, empty if there is no valid one
     /// The last label names the rack.
     [[nodiscard]] std::string rack() const
     {
--- a/include/walkthread/dispatch/gang_reservations.hpp
+++ b/include/walkthread/dispatch/gang_reservations.hpp
@@ -1,11 +1,12 @@
 #pragma once
 
 /// @file
-/// @brief Which gangs that wait get room ahead of its becoming free, and on which hosts.
+/// @brief Which waiting gangs get reservations, and on which hosts.
 ///
-/// A gang that only takes what is free at the moment may never start: smaller work takes each gap first, and
-/// several gangs that hold a part each keep the others from enough. As in EASY backfilling, the gang that has
-/// waited for longest gets a reservation; others use that room only for runs that end before it is due.
+/// A gang that only takes what is currently free may never start: smaller work fills each gap first, and
+/// several gangs that each hold a part keep one another from completing. As in EASY backfilling, the gang
+/// that has waited longest gets a reservation; other work uses that capacity only for runs that end before it
+/// is due.
 /// @since 0.6
 
 #include <cstdint>
@@ -23,56 +24,58 @@
 /// @brief When gangs get reservations, and how many.
 struct reservation_settings
 {
-    milliseconds after{30000};     ///< a gang waits that long first: it takes room from work that is on time
-    milliseconds after_idle{1000}; ///< the same while the pool is idle: room that is kept costs nothing then
-    double idle_below = 0.5;       ///< of the pool's room in use: the pool counts as idle
-    double share = 0.25;           ///< of the pool's room reserved at a time while it is not idle
-    std::size_t late = 1;          ///< late gangs that have reservations at a time while the pool is not idle
-    milliseconds review{100};      ///< between two reviews: the shortest runs take a few times that
-    std::size_t reviewed = 16;     ///< gangs looked at in one review
-    double backfill_spare = 1.5;   ///< times its expected run that a task needs before the room is due
+    /// Minimum wait of a gang, as a reservation takes capacity from work that is on time.
+    milliseconds after{30000};
+    milliseconds after_idle{1000}; ///< the same while the pool is idle: held capacity costs nothing then
+    double idle_below = 0.5;   ///< the pool counts as idle while a smaller share of its capacity is in use
+    double share = 0.25;       ///< maximum reserved share of the capacity of a pool that is not idle
+    std::size_t late = 1;      ///< maximum number of late gangs with reservations in a pool that is not idle
+    milliseconds review{100};  ///< interval between reviews; the shortest runs take a few times as long
+    std::size_t reviewed = 16; ///< maximum number of gangs examined in one review
+    double backfill_spare = 1.5; ///< safety factor on the expected run time of a task that backfills
 };
 
-/// @brief When a host has room for one, two, ... tasks of a gang.
+/// @brief When a host has capacity for one, two, ... tasks of a gang.
 struct host_outlook
 {
     worker_life_id worker{};
-    std::vector<double> ready_ms; ///< from now on; rising
-    bool kept{};                  ///< reserved for the gang already
+    std::vector<double> ready_ms; ///< from now, ascending
+    bool kept{};                  ///< already reserved for the gang
 };
 
 /// @brief Hosts that together take all tasks of a gang.
 struct gang_reservation
 {
     std::map<worker_life_id, std::uint32_t> tasks;
-    double ready_ms{}; ///< from now on, when all of the room is there
+    double ready_ms{}; ///< time from now until all of the capacity is free
 };
 
-/// @brief Chooses the hosts that have room soonest; those reserved already count as twice as soon, so that
-/// rough forecasts do not move a reservation about.
-/// @return no value if the hosts never have room for all tasks
+/// @brief Chooses the hosts that have capacity soonest. The wait for hosts that are already reserved counts
+/// half, so that inaccurate forecasts don't move a reservation back and forth.
+/// @return no value if the hosts never have capacity for all tasks
 /// Complexity: n log n in the tasks that fit on the hosts.
 [[nodiscard]] std::optional<gang_reservation> reserve_soonest(const std::vector<host_outlook>& hosts,
                                                               std::uint32_t count);
 
-/// @brief One review of the gangs that wait for a pool, in the order of their waiting.
+/// @brief One review of the gangs that wait in a pool, in the order in which they began to wait.
 class reservation_review
 {
   public:
-    /// @param room what the usable hosts of the pool have
-    /// @param in_use what runs take of it
+    /// @param room capacity of the usable hosts of the pool
+    /// @param in_use the part of it that runs occupy
     reservation_review(const reservation_settings& settings, const resources& room, const resources& in_use);
 
-    /// @brief Whether a gang has waited for long enough.
+    /// @brief Whether a gang has waited long enough for a reservation.
     [[nodiscard]] bool overdue(duration waited) const;
-    /// @brief Whether room may be reserved for one more gang. The first one always gets it.
-    /// @param wanted by all of its tasks
-    /// @param late it cannot be on time any more
-    /// @param ready_ms when the room is there; what is there now is not kept idle
+    /// @brief Whether one more gang may get a reservation. The first one always may.
+    /// @param wanted resources of all of its tasks
+    /// @param late it can't be on time any more
+    /// @param ready_ms time until the capacity is free; at 0 the gang may always reserve, as nothing is left
+    /// idle
     [[nodiscard]] bool admits(const resources& wanted, bool late, double ready_ms) const;
-    /// @brief A gang got its reservation.
+    /// @brief Records that a gang got its reservation.
     void add(const resources& wanted, bool late);
-    /// @brief Those that did.
+    /// @brief Number of gangs that got a reservation in this review.
     [[nodiscard]] std::size_t gangs() const
     {
         return m_gangs;
@@ -87,7 +90,7 @@
     std::size_t m_late = 0;
 };
 
-/// @brief Whether a run that is expected to take `run_ms` may use room that is reserved for `due`.
+/// @brief Whether a run that is expected to take `run_ms` may use capacity that is reserved from `due` on.
 [[nodiscard]] bool may_backfill(double run_ms, monotonic_time due, monotonic_time now,
                                 const reservation_settings& settings);
 
--- a/include/walkthread/dispatch/gathering.hpp
+++ b/include/walkthread/dispatch/gathering.hpp
@@ -1,11 +1,12 @@
 #pragma once
 
 /// @file
-/// @brief How many gangs may gather room at a time.
+/// @brief How many gangs may gather capacity at a time.
 ///
-/// The load it answers: a burst of wide gangs on a pool that small work keeps nearly full. What a gang holds
-/// stands idle until it has enough, so those that gather want a small part of the pool together. A fixed
-/// number would let a large pool start no more gangs a second than a small one.
+/// A gang that gathers holds free capacity, which stays idle until there is enough for all of its tasks. When
+/// many wide gangs arrive in a pool that small work keeps nearly full, the gangs that gather may therefore
+/// want only a small share of the pool together. A fixed number of gangs would limit a large pool to as many
+/// gang starts per second as a small one.
 /// @since 0.6
 
 #include <cstddef>
@@ -15,23 +16,23 @@
 namespace walkthread
 {
 
-/// @brief Bounds on gangs that gather.
+/// @brief Limits on gangs that gather.
 struct gathering_bounds
 {
-    std::size_t few = 2; ///< may gather on any pool, however small
-    double share = 0.1;  ///< of the pool's room that more of them may want together
+    std::size_t few = 2; ///< this many may gather in any pool, however small
+    double share = 0.1;  ///< maximum share of the pool's capacity that more gangs may want together
 };
 
-/// @brief Gangs that gather and do not have enough yet.
+/// @brief Gangs that gather and don't have enough yet.
 struct gathering_work
 {
     std::size_t gangs{};
-    resources wanted{}; ///< by all of their tasks
+    resources wanted{}; ///< resources of all of their tasks
 };
 
 /// @brief Whether one more gang may begin to gather. Complexity: constant.
-/// @param own what all tasks of that gang take
-/// @param pool what all hosts of its pool have
+/// @param own resources of all tasks of that gang
+/// @param pool capacity of all hosts of its pool
 [[nodiscard]] inline bool may_join_gathering(const gathering_work& others, const resources& own,
                                              const resources& pool, const gathering_bounds& bounds)
 {
--- a/include/walkthread/dispatch/host_reason.hpp
+++ b/include/walkthread/dispatch/host_reason.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Why a worker gets no new work at the moment, in one word each.
+/// @brief Whether a worker may get new work, and if not, the reason.
 /// @since 0.5
 
 #include <array>
@@ -14,26 +14,26 @@
 namespace walkthread
 {
 
-/// @brief What keeps new work off a worker; the first that holds, in this order.
+/// @brief The reason why a worker gets no new work. If several apply, the first in this order is reported.
 enum class host_reason : std::uint8_t
 {
-    usable,     ///< nothing does
-    dropped,    ///< its drop is being recorded
-    unanswered, ///< it has not answered this leader yet
-    unreported, ///< a new life under an old id that has not said yet what it has
+    usable,     ///< it may get new work
+    dropped,    ///< the command that drops it waits for its commit
+    unanswered, ///< it has not answered the current leader yet
+    unreported, ///< a new incarnation under a known id that has not sent its first report
     silent,     ///< its last answer is too long ago
-    doubted,    ///< the last look at it got no answer
-    leaving,    ///< it said that it leaves
-    avoided,    ///< it failed what it got, or could not start anything
-    closed,     ///< it is being emptied for upkeep
+    doubted,    ///< the last call to it failed
+    leaving,    ///< it announced that it leaves
+    avoided,    ///< in quarantine or back-off: runs failed there, or it could not start any
+    closed,     ///< its host is being drained for maintenance
 };
 
-/// @brief The names of all reasons as logs and figures have them, in the order of `host_reason`.
+/// @brief The names used in logs and metrics, in the order of `host_availability`.
 inline constexpr std::array<std::string_view, 9> host_reason_names{
     "usable", "dropped", "unanswered", "unreported", "silent", "doubted", "leaving", "avoided", "closed"};
 
-/// @brief Why no new work goes to a worker. Complexity: constant.
-/// @param closed whether its host is being emptied
+/// @brief Whether a worker may get new work, or why not. Complexity: constant.
+/// @param closed whether its host is being drained
 [[nodiscard]] host_reason reason_of(const worker_view& view, const worker_life& worker, bool closed,
                                     monotonic_time now, const dispatch_settings& settings);
 
--- a/include/walkthread/dispatch/keep_reason.hpp
+++ b/include/walkthread/dispatch/keep_reason.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
 /// @file
-/// @brief Whether a worker that is not heard is given up, and what it is kept for otherwise.
+/// @brief Decides whether an unresponsive worker is dropped, and if not, the reason.
 ///
-/// Given up too early, work that is done there starts again elsewhere; never given up, its runs count as
-/// running for ever.
+/// If a worker is dropped too early, work that completes there is started again elsewhere. If it is never
+/// dropped, its runs count as running for ever.
 /// @since 0.7
 
 #include <cstdint>
@@ -15,26 +15,27 @@
 namespace walkthread
 {
 
-/// @brief Why a worker is not given up.
+/// @brief Why a worker is not dropped.
 enum class keep_reason : std::uint8_t
 {
-    none,           ///< it is to be given up
-    heard,          ///< lately
-    drop_under_way, ///< that it is given up waits for its commit
-    untold,         ///< nothing that became of calls tells of it
-    lease_may_hold, ///< or was not over yet when it was asked last
-    nobody_heard,   ///< the leader itself may be cut off
+    none,           ///< nothing: the worker is dropped
+    heard,          ///< it answered recently
+    drop_under_way, ///< the command that drops it waits for its commit
+    untold,         ///< no poll that reached the network has failed since its last answer
+    lease_may_hold, ///< its lease may be valid, or had not expired when the last failed poll was sent
+    nobody_heard,   ///< no other worker answers: the leader may be isolated
 };
 
-/// @brief The reason as a log line says it.
+/// @brief The text for log lines.
 [[nodiscard]] std::string_view name_of(keep_reason reason);
 
-/// @brief Since when a leader has heard workers without a break.
+/// @brief The period in which a leader has received answers of workers without a long gap.
 /// @since 0.7
 class hearing_spell
 {
   public:
-    /// @brief Some worker answered a look. @param longest_break beyond that a new spell begins
+    /// @brief Records that some worker answered a poll.
+    /// @param max_gap after a longer gap, a new period begins
     void note_answer(monotonic_time now, duration longest_break)
     {
         m_since = now - m_last > longest_break ? now : m_since;
@@ -54,11 +55,11 @@
     monotonic_time m_last{};
 };
 
-/// @brief Decides whether a worker is given up. Complexity: constant.
+/// @brief Decides whether a worker is dropped. Complexity: constant.
 ///
-/// It takes a look that failed, was sent once every lease that there may be was over, and was sent while
-/// other workers were heard, before and after.
-/// @param hearing of the same leader
+/// A worker is dropped if a poll failed that was sent after the end of every lease it may have, and if other
+/// workers answered both before and after that poll was sent.
+/// @param hearing answers received by the same leader
 [[nodiscard]] keep_reason why_kept(const worker_view& view, const hearing_spell& hearing, monotonic_time now,
                                    const dispatch_settings& settings);
 
--- a/include/walkthread/dispatch/lost_runs.hpp
+++ b/include/walkthread/dispatch/lost_runs.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Who of the runs on a lost host may have taken it down, by what the leader knew of each.
+/// @brief Estimates which runs on a lost host may have caused its crash, from what the leader knew of each.
 /// @since 0.4
 
 #include <functional>
@@ -13,12 +13,13 @@
 namespace walkthread
 {
 
-/// @brief Shares the blame among the runs on a host. A task that crashes its host mostly does so at its
-/// start, so what had begun within `just_began` before the host's last word has the larger share; a run that
-/// had worked there for longer only stood beside. Complexity: linear in the runs.
-/// @param lost_at when the host was first found not to answer: what would have been over by then may not have
-/// been there any more when it crashed
-/// @param run_time how long a run is expected to take
+/// @brief Distributes the blame for a crash among the runs on the host. A task that crashes its host usually
+/// does so at its start, so runs that started within `startup_crash_window` before the last contact with the
+/// host get the larger share; runs that had worked for longer are unlikely causes. Complexity: linear in the
+/// runs.
+/// @param lost_at when the host was first found not to answer; a run that was due to end by then may have
+/// ended before the crash
+/// @param run_time returns the expected run time
 [[nodiscard]] std::vector<lost_run> share_blame(const worker_view& view, duration just_began,
                                                 monotonic_time lost_at,
                                                 const std::function<duration(const run_ref&)>& run_time);
--- a/include/walkthread/dispatch/mechanisms.hpp
+++ b/include/walkthread/dispatch/mechanisms.hpp
@@ -1,9 +1,9 @@
 #pragma once
 
 /// @file
-/// @brief Mechanisms of the dispatcher that can be switched off, to learn what each of them is worth.
+/// @brief Policies of the dispatcher that can be switched off, to evaluate the effect of each.
 ///
-/// They are policies only: with any of them off, every promise still holds.
+/// They affect scheduling quality only: all guarantees hold with any of them off.
 /// @since 0.3
 
 #include <array>
@@ -17,23 +17,25 @@
 namespace walkthread
 {
 
-/// @brief A policy that can be switched off; docs/OPERATIONS.md says what each does.
+/// @brief A policy that can be switched off; docs/OPERATIONS.md describes them.
 enum class mechanism : std::uint8_t
 {
-    outlook_order,  ///< work that can still be on time goes first; off: by urgency and age alone
-    preemption,     ///< lesser runs with checkpoints are stopped for urgent work and for gangs
-    learned_speeds, ///< hosts' speeds are learned from run times
-    quarantine,     ///< hosts that fail work of several submissions in a row are avoided for a while
-    failed_hosts,   ///< a task is not tried again where it failed, if there are others
-    large_slots,    ///< small tasks go where they leave room for tasks of gangs
-    short_looks,    ///< looks are short while many of them get lost
-    answer_tickets, ///< tickets count from the advisor's answer; off: from the question
-    kept_tickets,   ///< what waits has tickets for all hosts that may run it, while askers are idle
-    reservations,   ///< hosts are kept for tasks that need most of one until they are free
-    suspects_apart, ///< tasks that may crash their hosts are started apart from each other and other work
+    outlook_order,  ///< work that can still be on time goes first; off: order by urgency and age only
+    preemption,     ///< less urgent runs with checkpoints are stopped for urgent work and for gangs
+    learned_speeds, ///< the speeds of hosts are learned from run times
+    quarantine,     ///< hosts on which runs of several submissions fail in a row are avoided for a while
+    failed_hosts,   ///< a task is not retried where it failed if there are other hosts
+    large_slots,    ///< small tasks are placed where they leave capacity for tasks of gangs
+    short_looks,    ///< polls are short while many of them are lost
+    answer_tickets, ///< ticket validity is counted from the advisor's answer; off: from the query
+    /// Steps that wait get tickets for all eligible hosts in advance, while the processes that query are
+    /// idle.
+    kept_tickets,
+    reservations,   ///< hosts are held for tasks that need most of a host until they are free
+    suspects_apart, ///< crash suspects are started apart from each other and from other work
 };
 
-/// @brief The names of all mechanisms as settings and logs have them, in the order of `mechanism`.
+/// @brief The names used in settings and logs, in the order of `mechanism`.
 inline constexpr std::array<std::string_view, 11> mechanism_names{
     "outlook-order", "preemption",     "learned-speeds", "quarantine",   "failed-hosts",  "large-slots",
     "short-looks",   "answer-tickets", "kept-tickets",   "reservations", "suspects-apart"};
@@ -51,7 +53,7 @@
     return std::nullopt;
 }
 
-/// @brief Which mechanisms are on; all, unless switched off.
+/// @brief Which mechanisms are on; by default all.
 /// @since 0.3
 class mechanism_set
 {
--- a/include/walkthread/dispatch/orders.hpp
+++ b/include/walkthread/dispatch/orders.hpp
@@ -1,7 +1,8 @@
 #pragma once
 
 /// @file
-/// @brief Orders to workers and to the placement advisor, and their answers, as the dispatcher sees them.
+/// @brief Orders to workers, queries to the placement advisor, and their answers, as the dispatcher sees
+/// them.
 /// @since 0.2
 
 #include <cstdint>
@@ -16,37 +17,37 @@
 namespace walkthread
 {
 
-/// @brief What became of a call to a worker.
+/// @brief The outcome of a call to a worker.
 enum class order_outcome : std::uint8_t
 {
     accepted,
-    fenced,      ///< the worker has heard a newer leader
-    outdated,    ///< this run or a newer one was stopped or ended there
-    late,        ///< the order's time was over
-    no_room,     ///< the worker guards its room and has none
-    bad_ticket,  ///< the advisor's ticket does not count (any more)
-    unhealthy,   ///< the worker did nothing and says it cannot
-    other_life,  ///< another life of a worker answers at this address
-    rejected,    ///< the worker cannot read the order
-    unanswered,  ///< it may have been done, or may still be done
-    unreachable, ///< the worker's address took no connection: it was not done, and will not be
-    not_sent,    ///< no connection was free here, or no time: it was not done, and will not be
+    fenced,      ///< the worker has seen a higher fencing token
+    outdated,    ///< this run or a newer one of the task was stopped or ended there
+    late,        ///< the order had expired
+    no_room,     ///< the worker checks its capacity and has none
+    bad_ticket,  ///< the worker does not accept the advisor's ticket, or not any more
+    unhealthy,   ///< the worker did not carry out the order and reports that it can't
+    other_life,  ///< another incarnation of a worker answers at this address
+    rejected,    ///< the worker can't parse the order
+    unanswered,  ///< it may have been carried out, or may be later
+    unreachable, ///< the worker's address accepted no connection: it was not carried out and never will be
+    not_sent,    ///< no connection or no time was left here: it was not carried out and never will be
 };
 
-/// @brief Whether a call that ended so was surely not carried out, and will not be.
+/// @brief Whether a call with this outcome was certainly not carried out and never will be.
 [[nodiscard]] constexpr bool never_left(order_outcome outcome)
 {
     return outcome == order_outcome::unreachable || outcome == order_outcome::not_sent;
 }
 
-/// @brief Where and under which authority an order goes.
+/// @brief The destination of an order and the authority under which it is sent.
 struct worker_address
 {
     worker_life_id worker{};
-    std::string id;        ///< the worker's own; its next life may have the same
-    birth_ms born{};       ///< of the life that is meant
-    std::string address;   ///< IP number and port
-    std::uint64_t fence{}; ///< the leader's term; workers refuse lower ones
+    std::string id;        ///< chosen by the worker; its next incarnation may use the same
+    birth_ms born{};       ///< start time of the addressed incarnation
+    std::string address;   ///< IP address and port
+    std::uint64_t fence{}; ///< fencing token: the leader's term; workers refuse lower ones
 };
 
 /// @brief Starts one run.
@@ -58,7 +59,8 @@
     std::int64_t until_ms{}; ///< on the worker's clock
     std::string checkpoint;
     std::string ticket;
-    bool presses{}; ///< urgent, or one of a gang that waits for all: goes first where connections are short
+    /// Urgent, or part of a gang that waits for all its members: goes first if connections are scarce.
+    bool presses{};
 };
 
 /// @brief Stops one run.
@@ -68,7 +70,7 @@
     run_ref run{};
 };
 
-/// @brief Lets a run work at a share of its speed.
+/// @brief Limits a run to a percentage of its full speed.
 struct pace_task_order
 {
     worker_address to;
@@ -76,17 +78,17 @@
     std::int32_t percent{};
 };
 
-/// @brief Renews a worker's lease and asks what runs and what ended.
+/// @brief Renews a worker's lease and asks which runs are active and which ended.
 ///
-/// All of it is for the life that is meant. Another life at its address gets a bare question in its place,
-/// which neither renews nor confirms anything there, and answers it with what it runs.
+/// It is addressed to one incarnation. If another incarnation is found at the address, that one gets a plain
+/// query instead, which neither renews a lease nor confirms ends, and answers with its runs.
 struct look_order
 {
     worker_address to;
     std::optional<std::int64_t> until_ms; ///< on the worker's clock
-    std::uint64_t last_seen{};            ///< ends up to this number may be forgotten
-    std::int64_t wait_ms{};               ///< the answer may wait that long for an end
-    milliseconds patience{};              ///< beyond that the look counts as lost
+    std::uint64_t last_seen{};            ///< ends up to this number may be discarded by the worker
+    std::int64_t wait_ms{};  ///< long poll: the answer may be delayed for that long until a run ends
+    milliseconds patience{}; ///< after `wait_ms`, until the poll times out
 };
 
 /// @brief The answer to a start, stop or pace order.
@@ -94,19 +96,19 @@
 {
     order_outcome outcome{};
     std::optional<std::int64_t> clock_ms; ///< the worker's clock
-    bool repeated{}; ///< the order went out twice: it may have been carried out before this answer
+    bool repeated{}; ///< the order was sent twice: it may have been carried out before this answer
 };
 
-/// @brief A run that a worker listed.
+/// @brief A run that a worker reports as active.
 struct listed_run
 {
     run_ref run{};
     std::string checkpoint;
     std::int32_t percent{};
-    std::int64_t figure{}; ///< serving tasks: tail in milliseconds; else millicores in use
+    std::int64_t figure{}; ///< tail latency in milliseconds for serving tasks; millicores in use for others
 };
 
-/// @brief An end that a worker listed.
+/// @brief The end of a run as reported by a worker.
 struct listed_end
 {
     std::uint64_t number{};
@@ -115,17 +117,17 @@
     std::string checkpoint;
 };
 
-/// @brief The answer to a look.
+/// @brief The answer to a poll.
 struct look_answer
 {
     order_outcome outcome{};
-    birth_ms born{}; ///< of the life that answered
+    birth_ms born{}; ///< start time of the incarnation that answered
     std::int64_t clock_ms{};
     std::vector<listed_run> running;
     std::vector<listed_end> ended;
 };
 
-/// @brief A question to the placement advisor.
+/// @brief A query to the placement advisor.
 struct advice_question
 {
     step_ref step{};
@@ -133,7 +135,7 @@
     MSGPACK_DEFINE(step, lives)
 };
 
-/// @brief One worker that may run the step, with the ticket that says so.
+/// @brief A worker that may run the step, with the ticket that proves it.
 struct advice_grant
 {
     std::string life;
@@ -146,23 +148,24 @@
 {
     bool answered{};
     std::vector<advice_grant> good;
-    duration took{};        ///< since the question left the process that asked; set on receipt, not sent
-    std::int64_t took_ms{}; ///< the same as measured there, with the way to the leader still to come
+    /// Since the process that queried the advisor sent the query; set on receipt, not transmitted.
+    duration took{};
+    std::int64_t took_ms{}; ///< the same as measured by that process, without the transfer to the leader
     MSGPACK_DEFINE(answered, good, took_ms)
 };
 
-/// @brief What a worker reports of itself from time to time.
+/// @brief A worker's periodic report of itself.
 struct worker_report
 {
     worker_facts facts;
     bool draining{};
-    std::int64_t remaining_ms{}; ///< while draining: it stays at least that long
+    std::int64_t remaining_ms{}; ///< while draining: minimum time until it leaves
     std::int64_t clock_ms{};
     std::uint64_t sequence{};
     MSGPACK_DEFINE(facts, draining, remaining_ms, clock_ms, sequence)
 };
 
-/// @brief How the dispatcher meets the outside. Each call returns at once; answers come later.
+/// @brief Interface of the dispatcher to its environment. Each call returns at once; answers arrive later.
 struct dispatch_hooks
 {
     std::function<void(workload_command, std::function<void(bool committed)>)> propose;
@@ -170,24 +173,24 @@
     std::function<void(const start_task_order&, std::function<void(const order_answer&)>)> start;
     std::function<void(const stop_task_order&, std::function<void(const order_answer&)>)> stop;
     std::function<void(const pace_task_order&, std::function<void(const order_answer&)>)> pace;
-    /// Asks the advisor through some process of ours; `urgent` goes ahead of what waits.
+    /// Queries the advisor through one of the processes of the cell; `urgent` queries go first.
     std::function<void(const advice_question&, bool urgent, std::function<void(const advice_answer&)>)>
         advise;
-    /// Whether another question that is not urgent would be asked soon. Those that wait are asked in the
-    /// order of the passes, not of their coming. Null: always.
+    /// Whether another query that is not urgent would be sent soon. Pending queries are sent in the order of
+    /// the passes that issued them. Null: always.
     std::function<bool()> advisors_free;
-    /// Whether many of the processes that ask have nothing to ask. Null: always.
+    /// Whether many of the processes that query the advisor are idle. Null: always.
     std::function<bool()> advisors_idle;
-    /// Orders a host's upkeep at the platform.
+    /// Orders maintenance of a host from the platform.
     std::function<void(const std::string& host, std::uint64_t wave, std::uint64_t fence,
                        std::function<void(const order_answer&)>)>
         order_upkeep;
-    /// Told for each step some tasks of which were placed: how long it waited since its turn came. May be
+    /// Called for each step of which tasks were placed, with its waiting time since it became ready. May be
     /// null.
     std::function<void(const std::string& queue, duration waited)> planned;
-    /// Asks for another call of `dispatcher::pass` soon.
+    /// Requests another call of `dispatcher::pass` soon.
     std::function<void()> wake;
-    std::function<monotonic_time()> now; ///< when an answer is handled
+    std::function<monotonic_time()> now; ///< current time, read when an answer is handled
 };
 
 } // namespace walkthread
--- a/include/walkthread/dispatch/room_news.hpp
+++ b/include/walkthread/dispatch/room_news.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief On which hosts room came free lately, so that a step that waits looks at these alone.
+/// @brief Records on which hosts capacity was freed recently, so that a waiting step examines only these.
 /// @since 0.3
 
 #include <algorithm>
@@ -15,17 +15,18 @@
 namespace walkthread
 {
 
-/// @brief A bounded record of hosts where room came free, oldest first.
+/// @brief A bounded log of hosts on which capacity was freed, oldest first.
 /// @since 0.3
 class room_news
 {
   public:
-    /// @param kept how many are remembered at least; who read longer ago looks at all hosts again
+    /// @param kept minimum number of entries that are kept; a reader whose position is older examines all
+    /// hosts again
     explicit room_news(std::size_t kept) : m_kept(kept)
     {
     }
 
-    /// @brief Room came free on a host. Complexity: amortized constant.
+    /// @brief Records that capacity was freed on a host. Complexity: amortized constant.
     void note(worker_life_id host)
     {
         if (m_hosts.size() >= 2 * m_kept)
@@ -36,13 +37,13 @@
         }
         m_hosts.push_back(host);
     }
-    /// @brief How many were noted so far.
+    /// @brief Number of entries recorded so far.
     [[nodiscard]] std::uint64_t position() const
     {
         return m_first + m_hosts.size();
     }
-    /// @brief Hosts noted since a position, each once, in the order of their ids; no value if some of them
-    /// are forgotten.
+    /// @brief Hosts recorded since a position, without duplicates, in the order of their ids; no value if
+    /// some of the entries have been discarded.
     [[nodiscard]] std::optional<std::vector<worker_life_id>> since(std::uint64_t position) const
     {
         if (position < m_first)
@@ -58,7 +59,7 @@
 
   private:
     std::size_t m_kept;
-    std::uint64_t m_first = 0; ///< the position of the oldest one
+    std::uint64_t m_first = 0; ///< position of the oldest entry
     std::vector<worker_life_id> m_hosts;
 };
 
--- a/include/walkthread/dispatch/unconfirmed_work.hpp
+++ b/include/walkthread/dispatch/unconfirmed_work.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Submissions whose starts are recorded, but of which no worker has said yet that it began one.
+/// @brief Submissions whose starts are committed but not yet confirmed by any worker.
 /// @since 0.2
 
 #include <cstdint>
@@ -13,33 +13,34 @@
 namespace walkthread
 {
 
-/// @brief Knows which running submissions have not begun as far as their leader knows. A start is recorded
-/// before its order is sent, and an order may reach nobody.
+/// @brief Tracks running submissions of which, as far as the leader knows, no task has started. A start is
+/// committed before its order is sent, and the order may not reach the worker.
 /// @since 0.2
 class unconfirmed_work
 {
   public:
-    /// @brief The first starts of a submission were recorded, or were found never to have begun.
+    /// @brief Adds a submission whose first starts were committed, or were found never to have begun.
     void add(submission_id id, std::string queue)
     {
         m_queues.emplace(id, std::move(queue));
     }
-    /// @brief A worker said that it runs, or ran, a task of the submission.
+    /// @brief Removes a submission: a worker reported that it runs, or ran, one of its tasks.
     void confirm(submission_id id)
     {
         m_queues.erase(id);
     }
-    /// @brief Forgets submissions that are over. Complexity: linear in the submissions held here.
+    /// @brief Removes submissions that are not running any more. Complexity: linear in the tracked
+    /// submissions.
     void prune(const workload_state& state);
-    /// @brief How many submissions of a queue wait for a worker's word. Complexity: as `prune`.
+    /// @brief Number of submissions of a queue that wait for a worker's confirmation. Complexity: as `prune`.
     [[nodiscard]] std::uint32_t count(const std::string& queue, const workload_state& state) const;
 
   private:
     std::unordered_map<submission_id, std::string> m_queues;
 };
 
-/// @brief Whether the record of a running submission shows no sign that any task of it began: no task runs,
-/// is completed, failed or left a checkpoint, or was tried twice. Complexity: linear in its tasks.
+/// @brief Whether the record of a running submission shows no sign that any of its tasks started: none is
+/// running, completed, failed, has left a checkpoint or was tried twice. Complexity: linear in its tasks.
 [[nodiscard]] bool shows_no_beginning(const submission& owner);
 
 } // namespace walkthread
--- a/include/walkthread/dispatch/worker_contact.hpp
+++ b/include/walkthread/dispatch/worker_contact.hpp
@@ -1,11 +1,11 @@
 #pragma once
 
 /// @file
-/// @brief What calls to one worker's life tell of whether it can be reached.
+/// @brief Tracks from the outcome of calls whether one incarnation of a worker can be reached.
 ///
-/// Two questions about a call without an answer have different answers: whether it may have been carried out
-/// (`never_left`), and whether the worker can be reached (here). `not_sent` says that the call was not
-/// carried out, and nothing of the worker.
+/// For a call without an answer there are two separate questions: whether it may have been carried out
+/// (`surely_not_executed`), and whether the worker can be reached (this file). The outcome `not_sent` means
+/// that the call was not carried out, but tells nothing of the worker.
 /// @since 0.7
 
 #include <algorithm>
@@ -18,26 +18,26 @@
 namespace walkthread
 {
 
-/// @brief Calls that got no answer since the worker was last heard.
+/// @brief Numbers of failed calls since the worker's last answer.
 struct failed_calls
 {
-    std::uint32_t not_sent{};    ///< for want of a connection here, or of time
-    std::uint32_t unreachable{}; ///< the address took no connection
-    std::uint32_t unconfirmed{}; ///< sent, and no answer came that counts
+    std::uint32_t not_sent{};    ///< no connection or no time was left here
+    std::uint32_t unreachable{}; ///< the address accepted no connection
+    std::uint32_t unconfirmed{}; ///< sent, but no valid answer came
 };
 
-/// @brief When a worker was last heard, and what has failed since.
+/// @brief The time of a worker's last answer, and the failures since.
 /// @since 0.7
 class worker_contact
 {
   public:
     worker_contact() = default;
-    /// @param from it counts as heard then, although nothing has been asked yet
+    /// @param from counts as the time of the last answer until there is one
     explicit worker_contact(monotonic_time from) : m_heard(from)
     {
     }
 
-    /// @brief It answered a look.
+    /// @brief Records that it answered a poll.
     void note_answer(monotonic_time now)
     {
         m_heard = now;
@@ -45,8 +45,8 @@
         m_asked_in_vain.reset();
         m_failed = {};
     }
-    /// @brief A call to it got no answer that counts.
-    /// @param outcome why; what is neither `not_sent` nor `unreachable` was sent
+    /// @brief Records that a call to it got no valid answer.
+    /// @param outcome the cause; all but `not_sent` and `unreachable` mean that the call was sent
     void note_failure(order_outcome outcome, monotonic_time now)
     {
         ++(outcome == order_outcome::not_sent      ? m_failed.not_sent
@@ -58,7 +58,8 @@
             m_doubted_since = now;
         }
     }
-    /// @brief A look at it got no answer that counts. @param sent when it went out
+    /// @brief Records that a poll got no valid answer.
+    /// @param sent when it was sent
     void note_failed_look(order_outcome outcome, monotonic_time sent, monotonic_time now)
     {
         note_failure(outcome, now);
@@ -67,12 +68,12 @@
             m_asked_in_vain = std::max(m_asked_in_vain.value_or(sent), sent);
         }
     }
-    /// @brief It is not asked before `until`, on purpose, and counts as heard meanwhile.
+    /// @brief Polls it rarely: not before `until`. That time does not count as time without contact.
     void rest(monotonic_time until)
     {
         m_rests_until = until;
     }
-    /// @brief It is asked again from now on.
+    /// @brief Polls it at the usual rate again.
     void end_rest(monotonic_time now)
     {
         m_rests_until = std::min(m_rests_until, now);
@@ -86,28 +87,29 @@
     {
         return m_heard;
     }
-    /// @brief For how long it has not been heard, beyond the time for which it was left alone on purpose.
+    /// @brief Time since the last contact, without the time in which it was deliberately not polled.
     [[nodiscard]] duration unheard_for(monotonic_time now) const
     {
         return now - std::max(m_heard, m_rests_until);
     }
-    /// @brief Whether a call to it failed in a way that tells of the worker: nothing new goes there until it
-    /// is heard.
+    /// @brief Whether a call failed in a way that makes the worker suspected of failure: it gets no new work
+    /// until it answers.
     [[nodiscard]] bool doubted() const
     {
         return m_doubted;
     }
-    /// @brief Since when it has been doubted without a break.
+    /// @brief When the current suspicion began.
     [[nodiscard]] monotonic_time doubted_since() const
     {
         return m_doubted_since;
     }
-    /// @brief When the newest look that tells against it had been sent; nothing since it was heard.
+    /// @brief When the newest poll that counts against the worker was sent; no value if there is none since
+    /// its last answer.
     [[nodiscard]] std::optional<monotonic_time> asked_in_vain() const
     {
         return m_asked_in_vain;
     }
-    /// @brief What has failed since it was last heard.
+    /// @brief Calls that failed since its last answer.
     [[nodiscard]] const failed_calls& failed() const
     {
         return m_failed;
--- a/src/dispatch/advice_book.cpp
+++ b/src/dispatch/advice_book.cpp
@@ -7,8 +7,9 @@
 
 namespace
 {
-constexpr double first_share = 0.4;    // before any answer: between the users' kinds, 0.3 to 0.7
-constexpr double least_share = 0.05;   // so that a question never names all workers for one bad answer
+// Before any answer: between the shares of the known workloads, 0.3 to 0.7.
+constexpr double first_share = 0.4;
+constexpr double least_share = 0.05;   // so that one bad answer does not make a query name all workers
 constexpr double learning_rate = 0.15; // weight of one answer
 } // namespace
 
--- a/src/dispatch/keep_reason.cpp
+++ b/src/dispatch/keep_reason.cpp
@@ -8,8 +8,9 @@
 std::string_view name_of(keep_reason reason)
 {
     constexpr std::array<std::string_view, 6> names{
-        "nothing, it is given up next", "it was heard lately", "its drop waits for the commit",
-        "no call has told of it",       "its lease may hold",  "no other worker is heard"};
+        "nothing; it is dropped next",   "it answered recently",
+        "its drop waits for the commit", "no poll has failed since its last answer",
+        "its lease may be valid",        "no other worker answers"};
     return names.at(static_cast<std::size_t>(reason));
 }
 
--- a/src/dispatch/lost_runs.cpp
+++ b/src/dispatch/lost_runs.cpp
@@ -8,9 +8,9 @@
 
 namespace
 {
-constexpr double surely_at_work = 0.5; // of the expected run time, which is often far off
+constexpr double surely_at_work = 0.5; // fraction of the expected run time, which is often inaccurate
 
-// The last answer of any kind.
+// Time of the last answer of any kind.
 monotonic_time last_word(const worker_view& view)
 {
     monotonic_time latest = view.contact.heard();
@@ -21,8 +21,8 @@
     return latest;
 }
 
-// By how many submissions had tasks that had just begun. Tasks of one submission do not share the blame: if
-// one of them is at fault, it is given up as a whole.
+// Share of each run, by the number of submissions with tasks that had just started. Tasks of one submission
+// don't share the blame: if one of them is at fault, the submission is failed as a whole.
 std::uint32_t share_of_each(std::size_t submissions)
 {
     return submissions == 1 ? blame::sole : submissions == 2 ? blame::shared : blame::crowd;
@@ -33,7 +33,7 @@
                                   const std::function<duration(const run_ref&)>& run_time)
 {
     const monotonic_time latest = last_word(view);
-    // When a run of an earlier leader began is not known.
+    // The start time of a run that an earlier leader started is unknown.
     const auto young = [latest, just_began](const run_view& known)
     {
         return known.settled && !known.inherited && latest - *known.settled <= just_began;
@@ -50,7 +50,7 @@
     for (const auto& [run, known] : view.runs)
     {
         const bool no_order_left = known.tries == 0 && !known.settled && !known.inherited;
-        const bool blamed_before = known.carried && !known.listed; // for the end of the life before
+        const bool blamed_before = known.carried && !known.listed; // when the former incarnation ended
         if (no_order_left || blamed_before)
         {
             continue;
--- a/src/dispatch/objective.cpp
+++ b/src/dispatch/objective.cpp
@@ -8,10 +8,12 @@
 
 namespace
 {
-constexpr double learning_rate = 0.02; // one run of hundreds a second; settles within seconds
-constexpr double least_ratio = 0.25;   // callers' guesses are at most about four times off
+// Weight of one run; at hundreds of runs a second the ratio converges within seconds.
+constexpr double learning_rate = 0.02;
+constexpr double least_ratio = 0.25; // callers' estimates are at most about four times off
 constexpr double most_ratio = 4.0;
-constexpr double unknown_run_ms = 1000; // for a step without an estimate: the middle of the users' kinds
+// For a step without an estimate: the middle of the range of the known workloads.
+constexpr double unknown_run_ms = 1000;
 } // namespace
 
 outlook judge_outlook(double slack_ms, double objective_ms, const outlook_bounds& bounds)
@@ -56,7 +58,8 @@
 
 chain_times objective_book::chain_of(const submission& owner, std::uint32_t step) const
 {
-    // Longest chain from each step to the end: later steps first, since a step depends on earlier ones only.
+    // Longest chain from each step to the end. Steps depend on earlier ones only, so they are processed in
+    // reverse.
     const auto& steps = owner.spec.steps;
     std::array<double, most_steps> behind{};
     chain_times out;
--- a/src/dispatch/room_forecast.cpp
+++ b/src/dispatch/room_forecast.cpp
@@ -7,7 +7,7 @@
 
 namespace
 {
-// Those that end by themselves, the soonest first.
+// Removes runs that don't end by themselves and sorts the others by their end.
 void order_by_end(std::vector<run_forecast>& runs)
 {
     std::erase_if(runs,
--- a/src/dispatch/suspect_watch.cpp
+++ b/src/dispatch/suspect_watch.cpp
@@ -8,14 +8,15 @@
 namespace
 {
 constexpr std::uint32_t losses_without_rest = 3;   // the platform allows two starts after the third crash
-constexpr std::uint32_t losses_until_isolated = 3; // two crashes mostly tell, if they tell anything
+constexpr std::uint32_t losses_until_isolated = 3; // if crashes are conclusive at all, two usually are
 constexpr std::uint32_t most_doublings = 2;
-constexpr milliseconds first_rest{2000}; // a host is back after some seconds, and the lease took 3 to 4 of
-                                         // them; ordinary work may stand still for less than 3 s
+// A host is back after some seconds, the lease included (3 to 4 s); ordinary work must not stall for 3 s.
+constexpr milliseconds first_rest{2000};
 constexpr milliseconds longest_rest = first_rest * (1U << most_doublings);
 } // namespace
 
-// What only stood beside one crash is started like other work: a crash of a rack leaves dozens of such tasks.
+// A task that was merely present at one crash is started like other work: the loss of a rack leaves dozens of
+// such tasks.
 bool suspect_watch::suspects(const task_ref& task) const
 {
     const suspicion* against = m_crashes.find(task);
--- a/src/dispatch/worker_view.cpp
+++ b/src/dispatch/worker_view.cpp
@@ -15,7 +15,7 @@
 
 void worker_view::note_clock(std::int64_t ms, monotonic_time now)
 {
-    // Keep the reading that puts the worker's clock furthest ahead: it was on its way for the shortest time.
+    // Keep the reading that puts the worker's clock furthest ahead: it had the shortest transfer time.
     if (!clock_known || ms >= clock_now(now) || now - clock_at > seconds(10))
     {
         clock_ms = ms;
@@ -60,16 +60,16 @@
         const auto found = runs.find(run);
         if (found == runs.end() && !before.stopping)
         {
-            continue; // it is over
+            continue; // it has ended
         }
         run_view& known = runs[run];
         known = before;
         known.carried = true;
         known.listed = known.order_in_flight = known.stop_in_flight = known.pace_in_flight = false;
-        known.ending = false; // what waits for its commit is about the former life
+        known.ending = false; // the pending commit concerns the former incarnation
         known.stop_retry = {};
         known.stop_settled.reset();
-        // Where one order was sent and answered, there is none that may come late.
+        // If exactly one order was sent and it was answered, none can arrive late.
         if (known.tries != 1 && !known.inherited)
         {
             known.settled.reset();
@@ -83,8 +83,9 @@
         }
     }
     late_starts = former.late_starts;
-    speed = former.speed; // the machine's, not the life's
-    // An order for the former life carries a lease end on a clock that was far ahead: cut to the longest.
+    speed = former.speed; // a property of the machine, not of the incarnation
+    // An order for the former incarnation has a lease end on a clock that was far ahead; the new one cuts it
+    // to the longest lease.
     if (!late_starts.empty())
     {
         foreign_lease_end += settings.late_orders;
--- a/tests/src/pool_log.hpp
+++ b/tests/src/pool_log.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// The log of a pool of stand-ins: none, or all lines to standard output, to follow one seed by hand.
+// The log of a simulated pool: disabled, or all lines to standard output to debug one seed.
 
 #include <memory>
 
--- a/tests/src/pool_settings.hpp
+++ b/tests/src/pool_settings.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// What a pool of stand-ins for workers is like, and what is wrong with one of them.
+// Settings of a simulated pool of workers, and the faults that can be injected into a worker.
 
 #include <cstdint>
 #include <cstdlib>
@@ -12,22 +12,22 @@
 namespace walkthread::test
 {
 
-// What a worker does wrong.
+// Faults of a worker.
 struct worker_faults
 {
-    bool dark = false;          // answers nothing; what runs goes on until its lease ends
+    bool dark = false;          // answers nothing; runs continue until the lease expires
     double late = 0.0;          // share of starts that get no answer and are carried out 2 to 12 s later
-    bool late_outlives = false; // these are carried out by the next life under its id, too
-    double late_stops = 0.0;    // the same of stops
-    double deaf = 0.0;          // share of looks that get no answer
-    double refuse = 0.0;        // share of starts that are refused, nothing done
-    double unsent = 0.0;        // share of starts that never leave the leader, for want of a connection
-    bool unasked = false;       // looks never leave the leader
-    bool rejects_looks = false; // answers them, and neither renews its lease nor tells what runs
-    bool unheard = false;       // its own reports do not arrive
+    bool late_outlives = false; // late starts are carried out even by the next incarnation under the same id
+    double late_stops = 0.0;    // the same for stops
+    double deaf = 0.0;          // share of polls that get no answer
+    double refuse = 0.0;        // share of starts that are refused without effect
+    double unsent = 0.0;        // share of starts that never leave the leader for lack of a connection
+    bool unasked = false;       // polls never leave the leader
+    bool rejects_looks = false; // answers polls, but neither renews its lease nor reports runs
+    bool unheard = false;       // its own reports are lost
     bool fails_all = false;     // every run fails after 100 ms
     bool stands_still = false;  // runs never end
-    bool resets = false; // starts are carried out, the connection breaks, and the channel sends them again
+    bool resets = false; // starts are carried out, then the connection breaks and the channel resends them
 };
 
 struct pool_settings
@@ -37,19 +37,19 @@
     duration commit = milliseconds(10);
     duration way = milliseconds(1);
     double good_share = 0.5;
-    duration question = milliseconds(10); // to the advisor, besides 0.2 ms for each worker
-    std::size_t askers =
-        0; // processes that ask, each one question at a time; 0: as many as there are questions
-    bool tickets_from_question = false;    // they count from then on, not from the answer
-    std::size_t slow_every = 0;            // each so manieth worker takes 1.3 times as long; 0 for none
-    duration restart = milliseconds(3000); // a worker that a task took down is back after that
-    bool restarts_keep_ids = false;        // under the id that it had, knowing nothing of before
-    duration upkeep = milliseconds(0);     // a host is down for that long; 0: the order has no effect
-    resources organisation_limit{};        // of each organisation of the day; nothing set: there are none
+    duration question = milliseconds(10); // for one advisor query, plus 0.2 ms for each worker
+    std::size_t askers = 0; // processes that query the advisor, one query at a time each; 0: unlimited
+    bool tickets_from_question = false;    // ticket validity starts with the query instead of the answer
+    std::size_t slow_every = 0;            // every n-th worker takes 1.3 times as long; 0 for none
+    duration restart = milliseconds(3000); // time until a worker that a task crashed is back
+    bool restarts_keep_ids = false;        // with the same id but without its state
+    // Time for which a host is down for maintenance; 0: the order has no effect.
+    duration upkeep = milliseconds(0);
+    resources organisation_limit{}; // of each organisation; no limits if it is empty
     std::uint64_t seed = 1;
-    std::size_t look_connections = SIZE_MAX; // looks that may be under way at once, as the leader knows it
+    std::size_t look_connections = SIZE_MAX; // maximum number of concurrent polls, as known to the leader
     mechanism_set mechanisms;
-    bool log_lines = std::getenv("WALKTHREAD_LOG") != nullptr; // to follow one seed by hand
+    bool log_lines = std::getenv("WALKTHREAD_LOG") != nullptr; // prints the log, to debug one seed
 };
 
 } // namespace walkthread::test
--- a/tests/src/unit-gang-reservations.cpp
+++ b/tests/src/unit-gang-reservations.cpp
@@ -20,7 +20,7 @@
 }
 } // namespace
 
-// Hosts that are nearly free were left for one that has room later.
+// Guards against choosing a host that has capacity later over hosts that are nearly free.
 BOOST_AUTO_TEST_CASE(the_hosts_with_room_soonest_are_reserved)
 {
     const auto found = reserve_soonest({{worker_life_id{1}, {0, 900}, false},
@@ -34,7 +34,7 @@
     BOOST_TEST(found->ready_ms == 400.0);
 }
 
-// With rough forecasts a reservation moved from host to host, and small work filled those it had left.
+// Inaccurate forecasts moved a reservation from host to host, and small work filled the hosts it had left.
 BOOST_AUTO_TEST_CASE(a_reservation_stays_where_it_is_unless_another_host_is_much_sooner)
 {
     const auto choose = [](double other_ms)
@@ -46,8 +46,8 @@
     BOOST_TEST(choose(400)->tasks.contains(worker_life_id{1}));
 }
 
-// Where all hosts had room at once, it moved to those that came free last, away from the tickets for the
-// others.
+// With capacity on all hosts at once, the reservation moved to the hosts that were freed last, for which
+// there were no tickets.
 BOOST_AUTO_TEST_CASE(a_reservation_whose_room_is_there_stays_where_it_is)
 {
     const auto found =
@@ -56,7 +56,7 @@
     BOOST_TEST(found->tasks.at(worker_life_id{2}) == 2U);
 }
 
-// A gang that can never have enough held room for good, and blocked those behind it.
+// A gang that can never fit held capacity permanently and blocked the gangs behind it.
 BOOST_AUTO_TEST_CASE(nothing_is_reserved_where_not_all_tasks_ever_fit)
 {
     BOOST_TEST(!reserve_soonest({{worker_life_id{1}, {0, 900}, false}}, 3).has_value());
@@ -69,7 +69,7 @@
     BOOST_TEST(review.admits(pool, true, 60'000));
 }
 
-// All room of a busy pool was kept for gangs that wait, and stood idle.
+// All capacity of a busy pool was reserved for waiting gangs and stayed idle.
 BOOST_AUTO_TEST_CASE(a_busy_pool_keeps_a_quarter_of_its_room_for_gangs)
 {
     reservation_review review(settings, pool, pool);
@@ -89,7 +89,7 @@
     BOOST_TEST(review.admits(tenth, false, 500));
 }
 
-// Late gangs took turns on a pool most of which was idle.
+// Late gangs got reservations one after another although most of the pool was idle.
 BOOST_AUTO_TEST_CASE(an_idle_pool_keeps_room_for_all_that_fit)
 {
     reservation_review review(settings, pool, tenth);
@@ -117,7 +117,7 @@
     BOOST_TEST(busy.overdue(settings.after));
 }
 
-// Small work that ran on past the time put the gang off again and again.
+// Small work that ran past the due time delayed the gang repeatedly.
 BOOST_AUTO_TEST_CASE(only_runs_that_end_well_before_the_room_is_due_may_use_it)
 {
     const monotonic_time now{seconds(100)};
--- a/tests/src/unit-gathering.cpp
+++ b/tests/src/unit-gathering.cpp
@@ -9,7 +9,7 @@
 {
 constexpr resources gang{180'000, 660'000, 0, 0}; // 20 tasks of 9 cores and 33 GB
 
-// How many such gangs gather at a time on a pool of that many hosts of 32 cores and 128 GB.
+// Number of such gangs that gather at a time in a pool of that many hosts with 32 cores and 128 GB.
 std::size_t gathering_on(std::int64_t hosts)
 {
     const resources pool = resources{32'000, 131'072, 0, 0} * hosts;
@@ -23,8 +23,9 @@
 }
 } // namespace
 
-// A burst of wide gangs on a full pool: two gathered at a time on any pool, each for about a second, so those
-// behind waited for seconds on 350 hosts while room came free there.
+// Guards against a fixed number of gathering gangs: on a burst of wide gangs in a full pool, two gathered at
+// a time, each for about a second, so others waited for seconds on 350 hosts although capacity was freed
+// there.
 BOOST_AUTO_TEST_CASE(more_gangs_gather_on_a_larger_pool)
 {
     BOOST_TEST(gathering_on(48) == 2);
--- a/tests/src/unit-reservations.cpp
+++ b/tests/src/unit-reservations.cpp
@@ -21,7 +21,7 @@
     return step;
 }
 
-// How long a task that needs a whole host takes on a pool that small tasks keep full, in milliseconds.
+// Time in milliseconds that a task which needs a whole host takes in a pool that small tasks keep full.
 std::int64_t time_of_large_task(std::uint64_t seed, bool reservations)
 {
     pool_settings settings;
@@ -69,8 +69,8 @@
     BOOST_TEST(!time_until_room(open, {}, need).has_value());
 }
 
-// lecan-norte, all days: tasks that need all accelerators of a host waited up to 54 s, as whatever ended made
-// room for small ones.
+// Tasks that need all accelerators of a host waited up to 54 s, as small tasks took all capacity that was
+// freed.
 BOOST_AUTO_TEST_CASE(a_large_task_starts_on_a_pool_full_of_small_ones)
 {
     for (std::uint64_t seed = 1; seed <= 8; ++seed)
@@ -83,7 +83,7 @@
     }
 }
 
-// Hosts are kept for a few large tasks at a time: the small ones go on meanwhile.
+// Hosts are held for only a few large tasks at a time, so small ones continue to run.
 BOOST_AUTO_TEST_CASE(many_large_tasks_leave_room_for_small_ones)
 {
     pool_settings settings;
--- a/tests/src/unit-rooms.cpp
+++ b/tests/src/unit-rooms.cpp
@@ -13,7 +13,7 @@
 
 namespace
 {
-// Some hosts of two pools, as a leader sees them.
+// Hosts of two pools as seen by a leader.
 struct table_fixture
 {
     table_fixture()
@@ -112,7 +112,7 @@
     BOOST_TEST(news.since(news.position() - 10)->size() == 10U);
 }
 
-// Work that waits looks only where room came free: it must still start as soon as there is room for it.
+// Waiting work examines only hosts on which capacity was freed; it must still start as soon as it fits.
 BOOST_AUTO_TEST_CASE(work_that_waits_starts_when_room_comes_free)
 {
     for (std::uint64_t seed = 1; seed <= seed_count(30); ++seed)
@@ -126,7 +126,8 @@
         std::vector<submission_id> all;
         for (int i = 0; i < 10; ++i)
         {
-            all.push_back(pool.submit("batch", {make_step(4, 4000, 400)})); // 40 tasks, 16 fit at a time
+            // 40 tasks, of which 16 fit at a time.
+            all.push_back(pool.submit("batch", {make_step(4, 4000, 400)}));
         }
         pool.run(milliseconds(2500));
         for (const submission_id id : all)
--- a/tests/src/virtual_events.hpp
+++ b/tests/src/virtual_events.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// Virtual time: work that is due at some time, done in order.
+// Virtual time: runs scheduled callbacks in the order of their times.
 
 #include <algorithm>
 #include <cstdint>
@@ -33,7 +33,7 @@
     {
         return m_now;
     }
-    // Does the work over and over, from now on.
+    // Runs the callback periodically.
     void every(duration gap, const std::function<void()>& work)
     {
         at(gap,
