--- a/include/walkthread/dispatch/dispatcher.hpp
+++ b/include/walkthread/dispatch/dispatcher.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
 /// @file
-/// @brief The leader's decisions: what to start where and when, and what became of it.
+/// @brief The leader's scheduling logic: places tasks on workers, polls the workers and records outcomes.
 ///
-/// Pure: the present time is an argument or comes with an answer, and everything that is to be done goes
-/// through `dispatch_hooks`. The replicated state is only changed by commands that are proposed here.
+/// Has no side effects of its own: the current time is an argument or comes with an answer, and all I/O goes
+/// through `dispatch_hooks`. The replicated state changes only by commands that are proposed here.
 /// @since 0.2
 
 #include <cstdint>
@@ -33,24 +33,24 @@
 namespace walkthread
 {
 
-/// @brief Counts since this process began to lead.
+/// @brief Event counts of the current term of leadership.
 struct dispatch_counters
 {
     std::uint64_t starts{};
     std::uint64_t ends{};
     std::uint64_t refused_starts{};
     std::uint64_t unanswered_orders{};
-    std::uint64_t unsent_orders{}; ///< for want of a connection
+    std::uint64_t unsent_orders{}; ///< no connection was available
     std::uint64_t lost_workers{};
-    std::uint64_t restarted_workers{}; ///< that kept their ids
-    std::uint64_t tasks_given_up{};    ///< as they crash the workers that start them
+    std::uint64_t restarted_workers{}; ///< restarts under the same worker id
+    std::uint64_t tasks_given_up{};    ///< poison tasks: they crash the workers they run on
     std::uint64_t questions{};
     std::uint64_t preemptions{};
     std::uint64_t starts_before_report{}; ///< on workers that had not reported to this leader yet
-    std::uint64_t starts_withdrawn{};     ///< not sent, or not again, as the worker leaves by now
+    std::uint64_t starts_withdrawn{};     ///< not sent or resent because the worker is leaving
 };
 
-/// @brief The leader's decisions. One object lives as long as one term of leadership.
+/// @brief Schedules tasks on workers. One object serves one term of leadership.
 /// @since 0.2
 class dispatcher
 {
@@ -60,31 +60,33 @@
     dispatcher(const workload_state& state, dispatch_settings settings, dispatch_hooks hooks,
                decision_log& log, std::uint64_t fence, monotonic_time now);
 
-    /// @brief Takes a worker's report. A life that is not known yet is proposed first.
-    /// @param done called once the report counts: its life is in the replicated state
+    /// @brief Handles a worker's report. An incarnation that is not known yet is proposed first.
+    /// @param done called with true once the report is accepted and its incarnation is in the replicated
+    /// state, with false if the worker has to report again
     void take_report(const worker_report& report, monotonic_time now, const std::function<void(bool)>& done);
-    /// @brief A worker says that it ends now.
+    /// @brief Handles a worker's notice that it is shutting down now.
     void take_leave(const std::string& id, const std::function<void(bool)>& done);
-    /// @brief Decides what can be decided at `now`: urgent and lasting steps each time, the others once in
-    /// `dispatch_settings::full_pass_gap`. Complexity: the steps looked at times workers at most.
+    /// @brief Runs one scheduling pass: urgent and long-running steps each time, the others once per
+    /// `dispatch_settings::full_pass_interval`. Complexity: at most the steps considered times the workers.
     void pass(monotonic_time now, wall_ms wall);
-    /// @brief When `pass` is needed again at the latest.
+    /// @brief The latest time at which `pass` has to be called again.
     [[nodiscard]] monotonic_time next_pass(monotonic_time now) const;
 
-    /// @brief Calls `then` once no end that a worker listed for this submission waits for its commit; at once
-    /// if none does, and when this leadership ends. A read that came behind an end then tells of it.
+    /// @brief Calls `then` once all run ends that workers listed for this submission are committed, so that a
+    /// read that arrives after an end reflects it. Calls it at once if there are none to commit, and when the
+    /// term ends.
     void after_recording(submission_id id, std::function<void()> then);
 
-    /// @brief Submissions of a queue none of whose tasks is known to have begun on a worker. Complexity:
-    /// linear in those whose first orders are not confirmed.
+    /// @brief The number of submissions of a queue none of whose tasks is known to have started on a worker.
+    /// Complexity: linear in the submissions whose first start orders are not confirmed.
     [[nodiscard]] std::uint32_t pending(const std::string& queue) const;
 
     [[nodiscard]] const dispatch_counters& counters() const
     {
         return m_counters;
     }
-    /// @brief Runs that count as running on workers that were not heard for longer than a lease, about a
-    /// second ago.
+    /// @brief The number of runs recorded as running on workers that have not answered for longer than a
+    /// lease; updated about once a second.
     [[nodiscard]] std::size_t unheard_runs() const
     {
         return m_unheard_runs;
@@ -98,7 +100,7 @@
     using candidate = step_candidate;
     using offer = host_offer;
 
-    // dispatcher.cpp: the pass, order
+    // dispatcher.cpp: the scheduling pass and the order of the candidates
     void sync_views(monotonic_time now);
     [[nodiscard]] worker_view make_view(const worker_life& worker, monotonic_time now);
     void tidy(monotonic_time now, wall_ms wall);
@@ -123,7 +125,7 @@
     void note(monotonic_time now, std::string_view event, std::string_view subject,
               std::initializer_list<log_field> fields);
 
-    // dispatcher_reports.cpp: which lives there are
+    // dispatcher_reports.cpp: worker reports and the admission of incarnations
     [[nodiscard]] bool names_known_pool(const worker_report& report) const;
     [[nodiscard]] bool lacks_birth(const worker_report& report) const;
     void take_known_report(worker_view& view, const worker_report& report, monotonic_time now);
@@ -133,7 +135,7 @@
                              const std::function<void(bool)>& done);
     void admit(const worker_report& report, const look_answer& answer, const std::function<void(bool)>& done);
 
-    // dispatcher_place.cpp: which worker
+    // dispatcher_place.cpp: choice of workers
     [[nodiscard]] std::uint32_t permitted_tasks(const candidate& item) const;
     bool place(const candidate& item, monotonic_time now);
     bool place_each(const candidate& item, monotonic_time now);
@@ -166,7 +168,7 @@
     [[nodiscard]] bool surely_good(const candidate& item, worker_life_id worker);
     [[nodiscard]] bool keeps_large_slots(const resources& room, const resources& need) const;
 
-    // dispatcher_gangs.cpp: all tasks of a step at once
+    // dispatcher_gangs.cpp: steps whose tasks all start together
     bool place_gang(const candidate& item, monotonic_time now);
     [[nodiscard]] bool has_lost_tasks(const candidate& item) const;
     [[nodiscard]] bool has_suspect_at_rest(const candidate& item, monotonic_time now) const;
@@ -186,7 +188,7 @@
                                                                    const room_hold& hold, monotonic_time now);
     [[nodiscard]] milliseconds question_time(const candidate& item, const room_hold& hold);
 
-    // dispatcher_gang_room.cpp: room reserved for gangs that have waited for long
+    // dispatcher_gang_reservations.cpp: reservations for gangs that have waited long
     [[nodiscard]] std::vector<candidate> gangs_by_waiting(const std::vector<candidate>& items,
                                                           monotonic_time now);
     [[nodiscard]] reservation_review begin_review(pool_number pool);
@@ -203,7 +205,7 @@
                                                 monotonic_time now) const;
     void ask_for_reserved(const candidate& item, monotonic_time now);
 
-    // dispatcher_reserve.cpp: hosts kept for large tasks
+    // dispatcher_reserve.cpp: hosts reserved for large tasks
     void reserve_hosts(const candidate& item, std::uint32_t left, monotonic_time now);
     void learn_large_hosts(const candidate& item, monotonic_time now);
     [[nodiscard]] std::size_t reserved_hosts(const candidate& item) const;
@@ -214,7 +216,7 @@
     [[nodiscard]] std::optional<double> time_until_room_on(const candidate& item, const offer& o) const;
     [[nodiscard]] std::optional<double> expected_left_ms(const run_ref& run, const run_view& known) const;
 
-    // dispatcher_advice.cpp
+    // dispatcher_advice.cpp: queries to the placement advisor
     void ask_advice(const candidate& item, std::uint32_t need, monotonic_time now);
     void keep_tickets(const candidate& item, monotonic_time now);
     [[nodiscard]] bool may_ask(const candidate& item, bool pressing, monotonic_time now);
@@ -224,13 +226,13 @@
                      const std::vector<worker_life_id>& workers, const advice_answer& answer,
                      milliseconds validity);
 
-    // dispatcher_preempt.cpp
+    // dispatcher_preempt.cpp: preemption
     void preempt_for(const candidate& item, std::uint32_t need, monotonic_time now);
     std::uint32_t preempt_on(const candidate& item, const offer& o, const resources& room, std::uint32_t need,
                              monotonic_time now);
     [[nodiscard]] bool may_preempt(const candidate& item, const run_ref& run, const run_view& known) const;
 
-    // dispatcher_workers.cpp: looks, leases, ends; dispatcher_orders.cpp: starts, stops, retries
+    // dispatcher_polling.cpp: polls, leases, run ends; dispatcher_orders.cpp: starts, stops, retries
     void look_at_all(monotonic_time now);
     void look_at(worker_view& view, monotonic_time now);
     [[nodiscard]] bool may_rest(const worker_view& view) const;
@@ -289,14 +291,14 @@
     [[nodiscard]] worker_address address_of(worker_life_id worker) const;
     worker_view* view_of(worker_life_id worker);
 
-    // dispatcher_sharing.cpp: serving and filling tasks side by side
+    // dispatcher_colocation.cpp: filling tasks on hosts with serving tasks
     void pace_fillers(worker_view& view, const look_answer& answer, monotonic_time now);
     void slow_fillers(worker_view& view, monotonic_time now);
     void send_paces(worker_view& view, monotonic_time now);
     [[nodiscard]] bool may_end_lasting(const run_ref& run);
     [[nodiscard]] bool at_work(const task_ref& ref);
 
-    // dispatcher_upkeep.cpp
+    // dispatcher_maintenance.cpp: host maintenance
     void advance_waves(monotonic_time now, wall_ms wall);
     [[nodiscard]] bool lost_in_upkeep(const std::string& host, monotonic_time now);
     [[nodiscard]] bool blocks_its_turn(const std::string& host, monotonic_time now);
@@ -313,60 +315,60 @@
     monotonic_time m_began;
     wall_ms m_wall{};
     std::shared_ptr<bool> m_alive =
-        std::make_shared<bool>(true); ///< answers after the end of the term find it gone
+        std::make_shared<bool>(true); ///< false after the end of the term; callbacks check it
 
     std::map<worker_life_id, worker_view> m_views;
     std::uint64_t m_synced_version = 0;
     monotonic_time m_tidy_due{};
-    monotonic_time m_waiting_due{};                        ///< when what waits for longest is told of next
-    std::map<std::string, monotonic_time> m_doubted_racks; ///< when a host there was last found not to answer
-    std::size_t m_unheard_runs = 0; ///< on workers that were not heard for longer than a lease
+    monotonic_time m_waiting_due{};                        ///< next log line about the longest waiting step
+    std::map<std::string, monotonic_time> m_doubted_racks; ///< when a host there was last suspected
+    std::size_t m_unheard_runs = 0; ///< runs on workers that have not answered for longer than a lease
     hearing_spell m_hearing;
     monotonic_time m_review_due{};
-    monotonic_time m_full_due{};                   ///< when steps that are not urgent are looked at again
-    double m_lost_looks = 0.0;                     ///< part of the last looks that got no answer
-    double m_usual_speed = 1.0;                    ///< of the faster half of the hosts
-    bool m_full_wanted = false;                    ///< some of them wait
-    std::map<task_ref, worker_life_id> m_planned;  ///< starts that wait for their commit
-    std::map<std::string, resources> m_planned_by; ///< what they take, by organisation
+    monotonic_time m_full_due{};                  ///< next pass over steps that are not urgent
+    double m_lost_looks = 0.0;                    ///< moving average of the share of polls that got no answer
+    double m_usual_speed = 1.0;                   ///< median speed of the faster half of the hosts
+    bool m_full_wanted = false;                   ///< steps that are not urgent are waiting
+    std::map<task_ref, worker_life_id> m_planned; ///< starts that are being committed
+    std::map<std::string, resources> m_planned_by; ///< resources of these starts by organisation
     unconfirmed_work m_unconfirmed;
     advice_book m_advice;
     objective_book m_objectives;
-    std::map<step_ref, room_hold> m_holds;           ///< room kept for gangs
-    std::map<step_ref, monotonic_time> m_hold_after; ///< gangs that gathered in vain wait until then
-    std::map<step_ref, monotonic_time> m_gang_retry; ///< gangs without room held are looked at then
-    std::map<step_ref, monotonic_time> m_gang_since; ///< gangs that wait, and since when
+    std::map<step_ref, room_hold> m_holds;           ///< capacity holds and reservations
+    std::map<step_ref, monotonic_time> m_hold_after; ///< back-off of gangs whose hold expired
+    std::map<step_ref, monotonic_time> m_gang_retry; ///< next placement attempt of gangs without a hold
+    std::map<step_ref, monotonic_time> m_gang_since; ///< waiting gangs, and since when they wait
     monotonic_time m_gang_review_due{};
-    std::set<step_ref> m_seeks_hosts; ///< gangs that have waited for long and know of too few hosts
-    std::map<worker_life_id, std::vector<step_ref>> m_reserved_on; ///< for which gangs a host is reserved
-    std::map<step_ref, monotonic_time> m_preempted;                ///< when runs were last stopped for a step
-    resources m_large_task{};                                      ///< about what a task of a gang takes
-    std::set<std::string> m_joining;                               ///< hosts of lives that are being admitted
+    std::set<step_ref> m_seeks_hosts; ///< overdue gangs with too few approved hosts
+    std::map<worker_life_id, std::vector<step_ref>> m_reserved_on; ///< gangs with a reservation there
+    std::map<step_ref, monotonic_time> m_preempted;                ///< last preemption for a step
+    resources m_large_task{};                                      ///< typical size of a gang's task
+    std::set<std::string> m_joining; ///< hosts whose incarnations are being admitted
     std::set<std::string> m_upkeep_in_flight;
     std::map<std::string, monotonic_time> m_upkeep_retry;
-    std::map<std::string, monotonic_time> m_upkeep_taken;   ///< when the platform took a host's order
-    std::map<std::string, monotonic_time> m_upkeep_absent;  ///< hosts of waves without a worker, since when
-    std::map<std::string, monotonic_time> m_upkeep_blocked; ///< hosts that may not be emptied, since when
-    std::set<std::string> m_upkeep_passed; ///< hosts that were ordered, and that others were let pass
-    std::set<std::string> m_upkeep_hosts;  ///< hosts being emptied for upkeep
+    std::map<std::string, monotonic_time> m_upkeep_taken;   ///< when the platform accepted a host's order
+    std::map<std::string, monotonic_time> m_upkeep_absent;  ///< since when a host of a wave has no worker
+    std::map<std::string, monotonic_time> m_upkeep_blocked; ///< since when a host may not be drained
+    std::set<std::string> m_upkeep_passed;                  ///< ordered hosts that no longer delay the others
+    std::set<std::string> m_upkeep_hosts;                   ///< hosts being drained for maintenance
     host_table m_hosts;
     suspect_watch m_suspects;
-    room_news m_news; ///< hosts where room came free
-    /// A step that found too little room.
+    room_news m_news; ///< hosts on which capacity became free
+    /// A step for which too little capacity was free.
     struct waiting_step
     {
-        std::uint64_t seen{};        ///< the position in `m_news` up to which it knows of room
-        monotonic_time look_again{}; ///< at all hosts
+        std::uint64_t seen{};        ///< position in the log of freed hosts up to which it has checked
+        monotonic_time look_again{}; ///< next scan of all hosts
     };
     std::map<step_ref, waiting_step> m_waiting;
-    /// Ends on their way into the replicated state, of one submission.
+    /// Run ends of one submission that are being committed.
     struct pending_ends
     {
         std::size_t entries{};
         std::vector<std::function<void()>> waiting;
     };
     std::map<submission_id, pending_ends> m_recording;
-    std::uint64_t m_verdicts_noted; ///< tasks given up as they crash their hosts, of which the log tells
+    std::uint64_t m_verdicts_noted; ///< how many poison tasks were logged so far
     bool m_forgetting = false;
     dispatch_counters m_counters;
 
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -11,19 +11,20 @@
 
 namespace
 {
-constexpr std::size_t forget_at_once = 200;          // bounds one log entry
-constexpr std::size_t most_failed_placements = 120;  // per pass: behind so many that do not fit, little does
-constexpr std::size_t news_kept = 4096;              // two seconds of the busiest load at 1,100 workers
-constexpr duration tidy_every = milliseconds(50);    // a fifth of the shortest retry
-constexpr duration review_every = milliseconds(250); // runs that stand still, speeds, what is over: all of
-                                                     // these change within seconds, and each run is looked at
-constexpr std::int32_t inherited_pace = 25; // percent: fillers of an earlier leader, until tails are known
-// Ranks 0 to 2 are those of lasting and urgent work and of gangs with a reservation.
+constexpr std::size_t forget_at_once = 200;         // bounds the size of one log entry
+constexpr std::size_t most_failed_placements = 120; // per pass: after so many failures, few others would fit
+constexpr std::size_t news_kept = 4096;             // two seconds of the peak load at 1,100 workers
+constexpr duration tidy_every = milliseconds(50);   // a fifth of the shortest retry interval
+// For work that visits every run: stalled runs, speeds and expiry change within seconds.
+constexpr duration review_every = milliseconds(250);
+// Percent: pace of filling tasks that an earlier leader started, until tail latencies are known.
+constexpr std::int32_t inherited_pace = 25;
+// Ranks 0 to 2 are long-running work, urgent work and gangs with a reservation.
 constexpr int rank_of(outlook chance)
 {
     return 3 + static_cast<int>(chance);
 }
-constexpr duration idle_pass = milliseconds(100); // leases, retries and due times are looked at that often
+constexpr duration idle_pass = milliseconds(100); // checks leases, retries and due times
 } // namespace
 
 dispatcher::dispatcher(const workload_state& state, dispatch_settings settings, dispatch_hooks hooks,
@@ -58,8 +59,8 @@
     m_log.write(now, m_wall, event, subject, fields);
 }
 
-// Null also between the commit that drops a life and the next pass, which forgets its view: an answer that
-// comes then is about nobody.
+// Also null between the commit that drops an incarnation and the next pass, which erases its view: answers
+// that arrive in between are ignored.
 worker_view* dispatcher::view_of(worker_life_id worker)
 {
     const auto found = m_views.find(worker);
@@ -74,7 +75,7 @@
                : worker_address{worker, life->facts.id, life->facts.born, life->facts.address, m_fence};
 }
 
-// Views follow the replicated state: new lives get one, dropped lives lose theirs.
+// Adds views of new incarnations and erases those of dropped ones.
 void dispatcher::sync_views(monotonic_time now)
 {
     if (m_synced_version == m_state.workers_version())
@@ -103,8 +104,8 @@
     view.contact = worker_contact(now);
     view.next_quarantine = m_settings.quarantine;
     view.draining = worker.leaving;
-    view.sequence = worker.leaving_sequence;     // an older report that comes late changes nothing
-    view.leaves_at = now + m_settings.lease_cap; // unknown until it reports here, which takes seconds
+    view.sequence = worker.leaving_sequence;     // delayed older reports are ignored
+    view.leaves_at = now + m_settings.lease_cap; // assumed until the worker reports to this leader
     if (worker.leaving)
     {
         note(now, "worker_draining", worker.facts.id,
@@ -123,7 +124,7 @@
         known.progressed = now;
         known.inherited = former == m_views.end();
         known.carried = !known.inherited;
-        // An earlier leader may have paced it; low until its neighbours' tails are known.
+        // An earlier leader may have throttled it: keep it low until tail latencies on the host are known.
         const step_spec* step = m_state.find(run.task.step);
         view.filler_pace = step != nullptr && step->fills ? inherited_pace : view.filler_pace;
     }
@@ -135,7 +136,7 @@
 }
 
 // ---------------------------------------------------------------------------------------------------------
-// The pass
+// Scheduling pass
 // ---------------------------------------------------------------------------------------------------------
 
 monotonic_time dispatcher::next_pass(monotonic_time now) const
@@ -172,7 +173,7 @@
         item.permitted = permitted_tasks(item);
         if (item.permitted == 0)
         {
-            drop_hold(item.ref); // room is not kept for what its organisation may not start
+            drop_hold(item.ref); // nothing is held for steps that their organisation's quota blocks
             continue;
         }
         item.placed = placed_tasks(item);
@@ -185,7 +186,7 @@
     }
 }
 
-// What need not be looked at after every answer.
+// Work that is not needed after every answer.
 void dispatcher::tidy(monotonic_time now, wall_ms wall)
 {
     drop_lost(now);
@@ -205,7 +206,7 @@
     }
 }
 
-// How pressing a step is. False if nothing of it can be started now.
+// Fills in the slack and timeliness of a step. Returns false if none of its tasks can be started now.
 bool dispatcher::rate(candidate& item, wall_ms wall) const
 {
     const wall_ms due = item.owner->spec.due_at(item.ref.round);
@@ -229,7 +230,8 @@
     return true;
 }
 
-// Lower goes first; within a rank by slack. Urgent work that can be late is still worth more than other work.
+// Lower ranks go first; within a rank, less slack goes first. Urgent work goes before other work unless it
+// has missed its latency objective: even at risk of being late, it is worth more.
 int dispatcher::rank(const candidate& item) const
 {
     if (item.step->lasting)
@@ -247,7 +249,7 @@
     return item.reserved ? 2 : rank_of(item.chance);
 }
 
-// A step that may be started, not rated yet.
+// A step that may be started, without slack and timeliness.
 dispatcher::candidate dispatcher::make_candidate(const step_ref& ref) const
 {
     candidate item;
@@ -279,8 +281,9 @@
     std::sort(out.begin(), out.end(),
               [this, lead_ms](const candidate& a, const candidate& b)
               {
-                  // What is doubtful becomes more so by waiting: there the better chance goes first. A gang
-                  // has to gather room and tickets before it can start.
+                  // Steps at risk of being late become more so by waiting, so those with more slack go first
+                  // among them. Gangs get a lead, as they have to gather capacity and tickets before
+                  // they start.
                   const auto pressing = [this, lead_ms](const candidate& c)
                   {
                       const bool prepares = c.step->gang && !c.urgent();
@@ -339,7 +342,7 @@
                     });
 }
 
-// Runs of submissions that are over are stopped.
+// Stops the runs of submissions that have ended or were cancelled.
 void dispatcher::stop_unwanted(monotonic_time now)
 {
     for (const submission_id id : m_state.closing())
@@ -393,7 +396,7 @@
           {"slack_ms", static_cast<std::int64_t>(item.slack_ms)},
           {"missed", item.missed()},
           {"gang", item.step->gang}});
-    // Until a worker says that it began, it is told as waiting.
+    // A submission is reported as waiting until a worker confirms its first start.
     const bool first = item.owner->state() == submission_phase::queued;
     m_hooks.propose(record_starts{starts},
                     [this, alive = m_alive, starts, tickets, room, counted, first, id = item.owner->id,
@@ -414,7 +417,7 @@
                             if (worker_view* view = view_of(planned.worker); view != nullptr)
                             {
                                 view->planned -= room;
-                                m_news.note(planned.worker); // the state may have refused it
+                                m_news.note(planned.worker); // the state machine may have refused the start
                             }
                         }
                         if (committed)
--- a/src/dispatch/dispatcher_advice.cpp
+++ b/src/dispatch/dispatcher_advice.cpp
@@ -1,4 +1,4 @@
-// The part of dispatcher that asks the placement advisor.
+// dispatcher: queries to the placement advisor.
 
 #include <walkthread/dispatch/dispatcher.hpp>
 
@@ -11,17 +11,17 @@
 
 namespace
 {
-constexpr std::size_t least_asked = 3;  // a question costs most for being asked at all
-constexpr std::size_t spare_asked = 20; // beyond that, little is gained by more choice
-constexpr double spare_cost = 0.12;     // part of a question's time that more choice may add
-constexpr double spare_factor = 1.4;    // ask for so much more than is needed: shares are averages
-constexpr std::uint64_t most_counted_slots = 0xFFFF; // room beyond that many tasks is no better
-constexpr std::size_t hosts_to_choose_from = 350;    // a larger fleet gains nothing by more choice
-constexpr double choice = 3.0; // times the tasks' need in room, so that the better hosts are chosen
-constexpr double full_worker_weight = 0.35; // a worker without room now may have some soon
+constexpr std::size_t least_asked = 3;               // most of a query's cost is fixed
+constexpr std::size_t spare_asked = 20;              // naming more workers than that gains little
+constexpr double spare_cost = 0.12;                  // share of a query's time that extra workers may add
+constexpr double spare_factor = 1.4;                 // margin over the need: approval rates are averages
+constexpr std::uint64_t most_counted_slots = 0xFFFF; // 16 bits of the sort key
+constexpr std::size_t hosts_to_choose_from = 350;    // candidates of a first query: more gain nothing
+constexpr double choice = 3.0;              // times the needed slots, to leave a choice of better hosts
+constexpr double full_worker_weight = 0.35; // a full worker may have free capacity soon
 } // namespace
 
-// What is `pressing` goes ahead of other questions, and need not wait for a process that is free.
+// `pressing` queries go ahead of others and do not wait for a free query process.
 bool dispatcher::may_ask(const candidate& item, bool pressing, monotonic_time now)
 {
     if (item.queue == nullptr || !item.queue->advised)
@@ -33,8 +33,8 @@
     return known.open_questions == 0 && now >= known.ask_after && turn;
 }
 
-// For a first question it is enough to choose among some hundreds of hosts, from a place that differs from
-// step to step; where these are busy, among more.
+// For a first query it is enough to choose among a few hundred hosts, starting at an offset that differs
+// between submissions. If these have too few free slots, more hosts are added.
 std::vector<dispatcher::offer> dispatcher::find_offers_to_ask(const candidate& item, std::uint32_t need,
                                                               monotonic_time now)
 {
@@ -64,7 +64,7 @@
     return offers;
 }
 
-// For tasks one by one and for urgent gangs; dispatcher_gangs.cpp has the others' questions.
+// Queries for single tasks and urgent gangs; those of other gangs are in dispatcher_gangs.cpp.
 void dispatcher::ask_advice(const candidate& item, std::uint32_t need, monotonic_time now)
 {
     if (!may_ask(item, item.presses(), now))
@@ -73,12 +73,13 @@
     }
     struct question_item
     {
-        std::uint64_t order; ///< lower is asked about first
+        std::uint64_t order; ///< lower values are queried first
         worker_life_id worker;
         std::uint32_t slots;
         double weight;
     };
-    // Room now, not held, fast where that matters, nothing taken from gangs, known to be good, much room.
+    // Prefers hosts with free slots, then those not held, fast ones for urgent work, those that keep slots
+    // for large tasks, approved ones, and those with more slots.
     const auto order_of = [&item](const offer& o, bool good)
     {
         const std::uint64_t flags = (o.slots > 0 ? 0U : 16U) | (o.held ? 8U : 0U) |
@@ -104,14 +105,13 @@
         if (counts || (seen && o.slots == 0))
         {
             enough += counts ? o.slots : 0;
-            continue; // nothing to be gained by asking again now
+            continue; // another query would not help now
         }
         const double certainty = seen ? 1.0 : share;
         const double weight = o.slots > 0 ? certainty * o.slots : certainty * o.whole * full_worker_weight;
         offers.push_back({order_of(o, seen), id, o.slots, weight});
     }
-    known.ask_after =
-        now + m_settings.advice_gap; // also where there is nothing to ask: little changes until then
+    known.ask_after = now + m_settings.advice_gap; // set also without a query, as little changes until then
     if (enough >= need)
     {
         return;
@@ -130,10 +130,9 @@
     }
     if (item.step->gang && !first && within_reach < need)
     {
-        return; // fresh tickets would run out before there is room for all
+        return; // new tickets would expire before all tasks fit
     }
-    // A few more cost little where naming a worker is cheap; retries and fast hosts then need no new
-    // question.
+    // Where naming a worker is cheap, a few extra ones save a later query for retries or for faster hosts.
     const advice_terms& terms = item.queue->advice;
     const double cheap = terms.each_ms > 0 ? spare_cost * terms.decision_ms / terms.each_ms : 0.0;
     const std::size_t least = std::clamp(static_cast<std::size_t>(cheap), least_asked, spare_asked);
@@ -157,8 +156,9 @@
     ask(item, asked, item.presses(), now);
 }
 
-// While a step waits and processes that ask are idle, it has tickets for all hosts that may run it: it starts
-// as soon as there is room, in place of after another question, which can take as long as a fifth of its run.
+// Renews the tickets of a waiting step for all approved hosts while query processes are idle. The step can
+// then start as soon as capacity is free instead of after another query, which can take as long as a fifth
+// of its run time.
 void dispatcher::keep_tickets(const candidate& item, monotonic_time now)
 {
     if (!uses(mechanism::kept_tickets) || (m_hooks.advisors_idle && !m_hooks.advisors_idle()))
@@ -168,7 +168,7 @@
     std::vector<worker_life_id> hosts;
     std::size_t good = 0;
     const step_advice& known = m_advice.of(item.ref);
-    // A ticket that ends while the next question is on its way is asked for now.
+    // Tickets that would expire during the next query are renewed now.
     const milliseconds question{static_cast<std::int64_t>(item.queue->advice.decision_ms)};
     for (const offer& o : find_good_offers(item, now))
     {
@@ -180,7 +180,7 @@
             hosts.push_back(o.worker->id);
         }
     }
-    if (2 * hosts.size() >= good) // not a question for every host that is learned
+    if (2 * hosts.size() >= good) // batches renewals instead of one query per host
     {
         ask(item, hosts, false, now);
     }
@@ -234,7 +234,7 @@
             const worker_life* worker = m_state.find_id(grant.life);
             const bool asked =
                 worker != nullptr && std::find(workers.begin(), workers.end(), worker->id) != workers.end();
-            if (asked) // a ticket holds for the life that was there
+            if (asked) // a ticket is valid only for the incarnation that was queried
             {
                 tickets[worker->id] = grant.ticket;
             }
@@ -250,7 +250,7 @@
           {"took_ms", answer.took}});
     m_gang_retry.erase(ref);
     m_waiting.erase(ref);
-    m_full_due = std::min(m_full_due, now); // what was asked for is used while it counts
+    m_full_due = std::min(m_full_due, now); // uses the tickets before they expire
     m_hooks.wake();
 }
 
--- a/src/dispatch/dispatcher_gang_room.cpp
+++ b/src/dispatch/dispatcher_gang_room.cpp
@@ -1,4 +1,4 @@
-// The part of dispatcher that reserves room for gangs that have waited for long.
+// dispatcher: reservations for gangs that have waited long.
 
 #include <walkthread/dispatch/dispatcher.hpp>
 
@@ -12,11 +12,12 @@
 
 namespace
 {
-constexpr double commit_unknown_ms = 1000; // what was just planned on a host runs about that long
+constexpr double commit_unknown_ms = 1000; // assumed run time of starts that are being committed
 } // namespace
 
-// Gangs all of whose tasks wait, in the order of their waiting. The state does not tell when a step's turn
-// came or its last run ended: there the time counts from when this leader first saw it wait.
+// Gangs all of whose tasks wait, longest waiting first. The replicated state does not record when a dependent
+// step became ready or when its last run ended: for these the time counts from when this leader first saw
+// them wait.
 std::vector<dispatcher::candidate> dispatcher::gangs_by_waiting(const std::vector<candidate>& items,
                                                                 monotonic_time now)
 {
@@ -63,7 +64,7 @@
     return {m_settings.reservations, room, in_use};
 }
 
-// Reserves anew for the gangs that have waited for longest; most keep what they had.
+// Recomputes the reservations of the gangs that have waited longest; most reservations stay the same.
 void dispatcher::review_gangs(const std::vector<candidate>& items, monotonic_time now)
 {
     if (!uses(mechanism::reservations) || now < m_gang_review_due)
@@ -74,7 +75,7 @@
     m_seeks_hosts.clear();
     std::map<pool_number, reservation_review> reviews;
     std::map<step_ref, room_hold> next;
-    std::map<step_ref, room_hold> kept; // the first of each pool, and those whose room is there
+    std::map<step_ref, room_hold> kept; // the first of each pool, and those that can start now
     std::size_t reviewed = 0;
     for (candidate& item : gangs_by_waiting(items, now))
     {
@@ -97,8 +98,9 @@
         std::optional<gang_reservation> found = find_reservation(item, next, now);
         if (found && found->ready_ms > 0.0)
         {
-            // Only the first one's room is kept from gangs that can start at once, and what each of these is
-            // about to start on from the others: with the same room for two, both would wait for ever.
+            // A gang that can start now may use the reservations of all but the first gang of the pool and of
+            // gangs that can start now as well: two gangs with the same capacity reserved would wait for
+            // ever.
             const std::optional<gang_reservation> at_once = find_reservation(item, kept, now);
             found = at_once && at_once->ready_ms <= 0.0 ? at_once : found;
         }
@@ -121,7 +123,7 @@
     set_reservations(std::move(next));
 }
 
-// When the host has room for one, two, ... tasks of the gang, beside reservations of those before it.
+// Forecasts when the host can take one, two, ... tasks of the gang, beside the reservations in `before`.
 host_outlook dispatcher::outlook_on(const candidate& item, const offer& o,
                                     const std::map<step_ref, room_hold>& before, monotonic_time now)
 {
@@ -194,7 +196,7 @@
     const auto before = m_holds.find(item.ref);
     if (before != m_holds.end() && before->second.ahead)
     {
-        out.promised = std::min(out.promised, before->second.promised); // others were let in until then
+        out.promised = std::min(out.promised, before->second.promised); // others were backfilled until then
         return out;
     }
     note(now, "gang_reserved", name_of(item.ref),
@@ -247,7 +249,8 @@
     return hold != m_holds.end() && hold->second.ahead;
 }
 
-// What is reserved on a host for other gangs: that which the step may use in the meantime, or the rest.
+// Capacity reserved on a host for other gangs: with `meantime` the part that the step may backfill, else the
+// part that it may not use.
 resources dispatcher::reserved_for_others(const candidate& item, worker_life_id host, bool meantime,
                                           monotonic_time now) const
 {
@@ -274,7 +277,8 @@
     return sum;
 }
 
-// Asks for tickets in time for the room; until then for what it may need elsewhere.
+// Queries tickets for the reserved hosts shortly before they are due, and until then learns of other hosts or
+// renews tickets.
 void dispatcher::ask_for_reserved(const candidate& item, monotonic_time now)
 {
     const room_hold& hold = m_holds.at(item.ref);
--- a/src/dispatch/dispatcher_gangs.cpp
+++ b/src/dispatch/dispatcher_gangs.cpp
@@ -1,4 +1,5 @@
-// The part of dispatcher that starts gangs: all tasks at once, with room held until there is enough.
+// dispatcher: gangs, whose tasks all start together, and capacity holds, which they gather until all tasks
+// fit.
 
 #include <walkthread/dispatch/dispatcher.hpp>
 
@@ -13,12 +14,13 @@
 
 namespace
 {
-constexpr std::int64_t large_task_memory = 8; // the learned size of a gang's task follows about that many
-constexpr double spare_factor = 1.5;          // asked beyond the need: the share of good ones is an average
-constexpr std::size_t learning_question = 64; // workers: about as long again as a question takes at least
-constexpr duration gang_retry =
-    milliseconds(120);                 // without room held; many wait, and each looks at its hosts
-constexpr std::size_t least_asked = 8; // a question costs most for being asked at all
+constexpr std::int64_t large_task_memory = 8; // divisor of the moving average of gang task sizes
+constexpr double spare_factor = 1.5;          // margin over the need: approval rates are averages
+// Workers per query: naming them takes about as long again as the fixed part of a query.
+constexpr std::size_t learning_question = 64;
+// Bounds the scans of gangs without a hold: many wait, and each attempt scans all hosts of the gang.
+constexpr duration gang_retry = milliseconds(120);
+constexpr std::size_t least_asked = 8; // most of a query's cost is fixed
 } // namespace
 
 void dispatcher::learn_large_task(const candidate& item)
@@ -33,12 +35,13 @@
     };
     follow(m_large_task.cpu, item.step->size.cpu);
     follow(m_large_task.memory, item.step->size.memory);
-    // Accelerators differ more between gangs, and a host that lacks one is of no use to the largest.
+    // The maximum, as accelerator counts vary more and the largest gangs cannot use a host that lacks one.
     m_large_task.accelerators = std::max(item.step->size.accelerators, m_large_task.accelerators);
 }
 
-// Gangs that need a part of a host's accelerators leave whole hosts to those that need all. Where none are
-// needed, gangs go where most of their tasks fit: sparing hosts there kept the largest of them waiting.
+// Gangs that need some of a host's accelerators avoid hosts that could serve gangs that need all of them.
+// Gangs without accelerators go where most of their tasks fit: avoiding hosts kept the largest of them
+// waiting.
 bool dispatcher::spares_accelerators(const candidate& item, const offer& o)
 {
     return item.step->size.accelerators == 0 || o.keeps_large;
@@ -78,7 +81,7 @@
     {
         return true;
     }
-    if (item.urgent()) // small, and served first: it needs no room of its own
+    if (item.urgent()) // urgent gangs are small and placed first, so nothing is held for them
     {
         ask_advice(item, item.step->count, now);
         preempt_for(item, item.step->count, now);
@@ -99,7 +102,7 @@
     return false;
 }
 
-// Starts a gang if all of its tasks have room and a ticket now.
+// Starts a gang if all of its tasks fit now and have tickets.
 bool dispatcher::start_gang(const candidate& item, monotonic_time now)
 {
     std::vector<offer> offers = find_open_offers(item, now);
@@ -133,7 +136,8 @@
     {
         only_rack = item.step->preferred_rack;
     }
-    // Urgent gangs are small and go where lesser work goes; others fill hosts whole, from the high end.
+    // Urgent gangs are small and go to the fastest hosts, from the low end of the ids. Others fill whole
+    // hosts, from the high end.
     const bool small = item.urgent();
     std::sort(offers.begin(), offers.end(),
               [small, &item](const offer& a, const offer& b)
@@ -170,7 +174,7 @@
 }
 
 // ---------------------------------------------------------------------------------------------------------
-// Room that is held
+// Capacity holds
 // ---------------------------------------------------------------------------------------------------------
 
 std::uint32_t dispatcher::held_tasks(const step_ref& ref) const
@@ -179,7 +183,7 @@
     return hold == m_holds.end() ? 0 : hold->second.total;
 }
 
-// Few gangs gather at a time: what one of them holds stands idle until it has enough.
+// Limits how many gangs gather capacity at a time: what they hold stays idle until all tasks fit.
 bool dispatcher::may_gather(const candidate& item) const
 {
     if (m_holds.contains(item.ref))
@@ -190,7 +194,7 @@
     for (const auto& [ref, hold] : m_holds)
     {
         const step_spec* step = m_state.find(ref);
-        const bool before = item.missed() || !hold.missed; // those that are late leave room for others
+        const bool before = item.missed() || !hold.missed; // holds of late gangs do not block others
         if (hold.gathers && before && step != nullptr && hold.total < step->count)
         {
             ++others.gangs;
@@ -230,8 +234,8 @@
     m_holds.erase(hold);
 }
 
-// Keeps what is free on hosts that may run the gang, until there is enough for all of its tasks. What it held
-// before stays its own as far as it is still free.
+// Holds free capacity on approved hosts until all tasks of the gang fit. Prefers the hosts on which the gang
+// already holds some.
 void dispatcher::hold_room(const candidate& item, monotonic_time now)
 {
     const auto before = m_holds.find(item.ref);
@@ -284,7 +288,8 @@
     set_hold(item.ref, std::move(next));
 }
 
-// Holds end with their step, and where nothing came to them for a while: room stands idle for them.
+// Drops holds of steps that no longer wait and holds that have not grown for a while, as the held capacity
+// is idle.
 void dispatcher::review_holds(monotonic_time now)
 {
     std::vector<step_ref> over;
@@ -313,8 +318,8 @@
 // Advice
 // ---------------------------------------------------------------------------------------------------------
 
-// Where questions wait, those for a part of the hosts would come back when the tickets of the others are
-// over.
+// The time to expect for a query about all hosts of a hold, queueing included: while queries queue, tickets
+// of the other hosts would expire before a query about some of them is answered.
 milliseconds dispatcher::question_time(const candidate& item, const room_hold& hold)
 {
     const advice_terms& terms = item.queue->advice;
@@ -323,7 +328,7 @@
                     milliseconds(static_cast<std::int64_t>(question_ms)));
 }
 
-// Those of its hosts whose tickets would be over before a question about all of them is answered.
+// Hosts of the hold whose tickets would expire before a query about all of them is answered.
 std::vector<worker_life_id> dispatcher::hosts_without_ticket(const candidate& item, const room_hold& hold,
                                                              monotonic_time now)
 {
@@ -342,7 +347,8 @@
     return hosts;
 }
 
-// First learns of hosts enough; once room for all is held on good ones, asks for their tickets.
+// First queries the advisor about enough hosts; once capacity for all tasks is held on approved hosts,
+// queries tickets for these.
 void dispatcher::ask_for_gang(const candidate& item, monotonic_time now)
 {
     const auto hold = m_holds.find(item.ref);
@@ -363,10 +369,11 @@
     }
 }
 
-// Asks about more workers, if those that are known to be good do not suffice. Says whether it asked.
+// Queries the advisor about more workers if the approved ones do not suffice. Returns whether it sent a
+// query.
 bool dispatcher::learn_hosts(const candidate& item, monotonic_time now)
 {
-    // Processes that ask are few: late gangs, which earn little, use those that would be idle.
+    // Query processes are few: late gangs, which are worth less, use them only while they are idle.
     const bool seeks = m_seeks_hosts.contains(item.ref);
     if (item.missed() && !seeks && m_hooks.advisors_idle && !m_hooks.advisors_idle())
     {
@@ -391,11 +398,12 @@
     }
     const double missing = item.step->count - held_tasks(item.ref);
     const bool reached = within_reach >= m_settings.gang_reach * item.step->count;
-    if (!seeks && reached && unknown_free < missing * spare_factor) // else others have room now
+    // Unless unknown hosts have enough free capacity now.
+    if (!seeks && reached && unknown_free < missing * spare_factor)
     {
         return false;
     }
-    // Only the first few are asked about: a heap gives them without sorting all.
+    // Only a few hosts are named: a heap yields the best ones without sorting all.
     const auto lesser = [](const offer& a, const offer& b)
     {
         return std::make_tuple(a.slots, a.whole, a.worker->id) <
@@ -417,7 +425,7 @@
         now_free += share * o.slots;
         within_reach += share * o.whole;
     }
-    // Several questions at once, as each takes the longer the more workers it names.
+    // Split into concurrent queries, as a query takes longer the more workers it names.
     for (std::size_t begin = 0; begin < asked.size(); begin += learning_question)
     {
         const auto first = asked.begin() + static_cast<std::ptrdiff_t>(begin);
--- a/src/dispatch/dispatcher_losses.cpp
+++ b/src/dispatch/dispatcher_losses.cpp
@@ -1,4 +1,4 @@
-// The part of dispatcher that tells what went with a worker, and who is suspected of that.
+// dispatcher: runs lost with a worker, and the share of the blame for its crash that each of them gets.
 
 #include <walkthread/dispatch/dispatcher.hpp>
 
@@ -10,8 +10,9 @@
 namespace walkthread
 {
 
-// A worker that answers nothing, not even on a new connection, may have crashed. The leader that takes over
-// until that is known would blame what crashed it no more than what stood beside, or work that never began.
+// A worker that does not answer, not even on a new connection, may have crashed. Replicates the last known
+// state of its runs: a leader that takes over before the crash is established could not tell the run that
+// caused it from its neighbours or from runs that never started.
 void dispatcher::keep_last_word(worker_view& view, monotonic_time now)
 {
     const worker_life& worker = *m_state.find(view.id);
@@ -51,13 +52,13 @@
     return milliseconds(static_cast<std::int64_t>(expected_ms));
 }
 
-// When it was first found not to answer.
+// When the worker was first suspected.
 monotonic_time dispatcher::lost_since(const worker_view& view, monotonic_time now)
 {
     return view.contact.doubted() ? view.contact.doubted_since() : now;
 }
 
-// What is known of the runs there.
+// What this leader knows of the runs there.
 std::vector<lost_run> dispatcher::runs_known_on(const worker_view& view, monotonic_time now) const
 {
     const auto run_time = [this](const run_ref& run)
@@ -67,7 +68,7 @@
     return share_blame(view, m_settings.just_began, lost_since(view, now), run_time);
 }
 
-// Of a worker that never answered this leader, the one before knew more.
+// For a worker that never answered this leader, uses the last known runs that the previous leader saved.
 std::vector<lost_run> dispatcher::runs_lost_with(const worker_view& view, monotonic_time now) const
 {
     std::vector<lost_run> lost = runs_known_on(view, now);
@@ -89,8 +90,9 @@
     return lost;
 }
 
-// A member of a gang ends as soon as another one is lost, so of several hosts that were lost under one run
-// only the first had members at work. A host that told of the end of its own outlived that one.
+// Whether a run of a gang may have ended before its host was lost, because another member was lost first. The
+// members of a gang end as soon as one of them is lost, so of several hosts lost under one run only the first
+// still had running members. A host that reported the end of its own member was lost later.
 bool dispatcher::may_have_broken_before(const run_ref& run, monotonic_time lost_at,
                                         worker_life_id lost_with) const
 {
@@ -109,7 +111,7 @@
     return false;
 }
 
-// Whether the life that a run was started on was heard since then.
+// Whether the incarnation that a run was started on has answered since `then`.
 bool dispatcher::outlived(const run_ref& run, worker_life_id worker, monotonic_time then) const
 {
     const worker_life* life = m_state.find(worker);
@@ -125,8 +127,8 @@
     return !of_former && view->second.contact.heard() >= then;
 }
 
-// What went with a worker, and why it is or is not suspected of that. A line for each run, a few dozen at
-// most.
+// Logs each run lost with a worker and the data that decides whether it becomes a crash suspect: one line per
+// run, a few dozen at most.
 void dispatcher::note_lost_runs(const worker_view& view, const std::vector<lost_run>& lost,
                                 monotonic_time now)
 {
@@ -157,7 +159,7 @@
     {
         ++m_counters.tasks_given_up;
         note(now, "task_given_up", name_of(kept[i].task),
-             {{"reason", "it crashes the workers that start it"},
+             {{"reason", "poison task: it repeatedly crashed its workers"},
               {"crashes", kept[i].against.crashes},
               {"unclear", kept[i].against.unclear},
               {"blame", kept[i].against.blame},
@@ -166,7 +168,7 @@
     m_verdicts_noted = crashes.verdict_count();
 }
 
-// A life that was only unheard may come back.
+// An incarnation dropped only because it was unresponsive may come back, unless `for_good` is set.
 void dispatcher::drop_worker_life(worker_view& view, std::string_view reason, bool for_good,
                                   monotonic_time now)
 {
--- a/src/dispatch/dispatcher_orders.cpp
+++ b/src/dispatch/dispatcher_orders.cpp
@@ -1,4 +1,4 @@
-// The part of dispatcher that orders starts and stops, and sends them again.
+// dispatcher: start and stop orders and their retries.
 
 #include <walkthread/dispatch/dispatcher.hpp>
 
@@ -11,22 +11,21 @@
 
 namespace
 {
-constexpr duration stop_retry = milliseconds(250); // an unanswered stop is sent again after that
-constexpr double stuck_factor = 3.0;               // times the expected run time without progress
+constexpr duration stop_retry = milliseconds(250); // before an unanswered stop is resent
+constexpr double stuck_factor = 3.0;               // times the expected run time without progress: stalled
 } // namespace
 
 // ---------------------------------------------------------------------------------------------------------
 // Starts
 // ---------------------------------------------------------------------------------------------------------
 
-// A worker may have said that it leaves since the start was planned, and a submission may have been
-// cancelled.
+// Since the start was planned, the worker may have begun to drain, or the submission may have been cancelled.
 bool dispatcher::may_still_start(const worker_view& view, const run_ref& run) const
 {
     return !view.draining && !view.gone && m_state.wants(run);
 }
 
-// Sends what was recorded, or none of a gang one member of which may not start any more.
+// Sends the committed starts. Sends none of a gang if any of its members may no longer start.
 void dispatcher::send_recorded(const record_starts& recorded, const std::vector<std::string>& tickets,
                                monotonic_time now)
 {
@@ -45,7 +44,7 @@
         worker_view* view = view_of(planned.worker);
         if (view == nullptr || !m_state.find(planned.worker)->occupied.contains(run))
         {
-            continue; // the state machine refused it
+            continue; // refused by the state machine
         }
         run_view& known = view->runs[run];
         known.ticket = tickets[i];
@@ -96,8 +95,8 @@
                   });
 }
 
-// What is known of a worker that gets work before it has reported to this leader is only what the log says.
-// One line for each such worker, so that a start there can be explained.
+// Counts and logs starts on workers that have not reported to this leader yet, of which only the replicated
+// log tells whether they are leaving. One log line per worker, so that such a start can be explained.
 void dispatcher::note_start(worker_view& view, const run_ref& run, monotonic_time now)
 {
     m_counters.starts_before_report += view.reported ? 0 : 1;
@@ -145,7 +144,7 @@
     {
         ++m_counters.unanswered_orders;
         view->late_starts[run] = now;
-        return; // retry_orders decides
+        return; // retry_orders resends or stops it
     }
     if (never_left(answer.outcome))
     {
@@ -169,7 +168,7 @@
     }
     if (answer.outcome == order_outcome::outdated)
     {
-        known.settled = now; // it was stopped or has ended there: the next look tells which
+        known.settled = now; // it was stopped or has ended there: the next poll tells which
         return;
     }
     if (known.tries == 1 && !answer.repeated && answer.outcome != order_outcome::fenced)
@@ -177,13 +176,13 @@
         end_run(worker, run, run_end::never_began, now); // the only order was refused
         return;
     }
-    send_stop(*view, run, now); // an earlier order may have been taken, or may be yet: a stop rules that out
+    send_stop(*view, run, now); // an earlier order may have been, or may still be, carried out
 }
 
-// The order never left, so it neither was nor will be carried out, and counts for no try. If none ever left,
-// the task is free for another worker after a few attempts, in place of after the lease of a worker that is
-// dark; a single task at once where the address takes no connection. Of a gang the others have begun, so
-// another attempt is worth its time.
+// An order that was never sent cannot be carried out and does not count as an attempt. If no order was ever
+// sent, the task may go to another worker after a few failures to send, without waiting for the lease of an
+// unresponsive worker to expire; a single task may do so at once if the address refuses connections. A gang
+// is retried, as its other members have already started.
 void dispatcher::take_unsent_start(worker_view& view, const run_ref& run, order_outcome outcome,
                                    monotonic_time now)
 {
@@ -221,12 +220,12 @@
                         }
                         else if (later != nullptr && later->runs.contains(run))
                         {
-                            later->runs[run].ending = false; // retry_orders proposes it again
+                            later->runs[run].ending = false; // retry_orders proposes the end again
                         }
                     });
 }
 
-// The others would wait for a member that never begins until they end alone, seconds later.
+// Stops the other members of a gang, which would wait several seconds for a member that never starts.
 void dispatcher::stop_rest_of_gang(const run_ref& run, monotonic_time now)
 {
     const step_spec* step = m_state.find(run.task.step);
@@ -296,11 +295,11 @@
         known.stop_settled = now;
         if (!m_state.find(worker)->occupied.contains(run))
         {
-            view->runs.erase(found); // a late start of a run that is over
+            view->runs.erase(found); // late start of a run that has already ended
         }
         if (!view->rules_out() && !view->look_in_flight && !view->recording)
         {
-            look_at(*view, now); // what it does not list now never began there
+            look_at(*view, now); // runs it does not list now never started there
         }
         return;
     }
@@ -316,7 +315,7 @@
     known.stop_retry = now + stop_retry;
 }
 
-// A refused connection tells of the worker, whatever it was for; a look is to confirm or to clear it.
+// A refused connection makes the worker suspected, whichever call it was for; a poll confirms or clears that.
 void dispatcher::note_unsent_call(worker_view& view, order_outcome outcome, monotonic_time now)
 {
     view.contact.note_failure(outcome, now);
@@ -340,7 +339,7 @@
             }
             const bool open = !known.settled && !known.inherited && !known.carried &&
                               !known.order_in_flight && !known.stopping && !known.ending;
-            const bool bound = silent && known.tries > 0; // what may run there waits for the worker
+            const bool bound = silent && known.tries > 0; // it may run there: waits for the worker's answer
             if (open && !bound && now - known.sent >= m_settings.order_retry)
             {
                 again.push_back(run);
@@ -361,7 +360,7 @@
             }
             else if (known.tries == 0)
             {
-                end_run(id, run, run_end::never_began, now); // no order for it ever left
+                end_run(id, run, run_end::never_began, now); // no order for it was ever sent
             }
             else
             {
@@ -371,7 +370,8 @@
     }
 }
 
-// Runs that stand still are stopped and started elsewhere; their worker is avoided for a while.
+// Stops stalled runs so that they start elsewhere, and avoids their worker for a while. Also stops runs with
+// checkpoints on workers that are about to leave.
 void dispatcher::watch_runs(monotonic_time now)
 {
     for (auto& [id, view] : m_views)
@@ -395,14 +395,14 @@
             const double expected = m_objectives.expected_ms(owner->queue, step) * stuck_factor;
             const duration patience =
                 std::max<duration>(m_settings.stuck_after, milliseconds(static_cast<std::int64_t>(expected)));
-            const bool paced = known.pace < 100; // stands still on our own order
-            // As of the last answer: a worker that is not heard may well go on.
+            const bool paced = known.pace < 100; // throttled by this leader, so no progress is expected
+            // Measured up to the last answer: runs of an unresponsive worker may well make progress.
             const bool stuck = !step.lasting && !paced && view.contact.heard() - known.progressed > patience;
             if (stuck)
             {
                 view.avoid_until = std::max(view.avoid_until, now + view.next_quarantine);
                 note(now, "worker_avoided", m_state.find(id)->facts.id,
-                     {{"reason", "a run stands still"},
+                     {{"reason", "run made no progress"},
                       {"run", name_of(run)},
                       {"unchanged_ms", now - known.progressed}});
             }
--- a/src/dispatch/dispatcher_place.cpp
+++ b/src/dispatch/dispatcher_place.cpp
@@ -1,4 +1,4 @@
-// The half of dispatcher that chooses workers for the tasks of a step.
+// dispatcher: choice of workers for the tasks of a step.
 
 #include <walkthread/dispatch/dispatcher.hpp>
 
@@ -11,8 +11,8 @@
 
 namespace
 {
-constexpr duration look_at_all_again =
-    milliseconds(100); // for a step that waits: hosts may be used again without room having come free there
+// Interval of full scans for a waiting step: a host may become eligible again without capacity being freed.
+constexpr duration look_at_all_again = milliseconds(100);
 
 std::uint32_t count_slots(const resources& need, const resources& room)
 {
@@ -31,8 +31,8 @@
 }
 } // namespace
 
-// How many more tasks of the step may go to a host with so much room. Everything that counts places asks
-// this: what is at the step's limit a host has none, however much room is free.
+// The number of further tasks of the step that a host with this free capacity may take. All code that
+// counts slots uses this function: a host at the step's per-host limit has none, however much is free.
 std::uint32_t dispatcher::slots(const candidate& item, worker_life_id worker, const resources& room) const
 {
     std::uint32_t limit = item.step->per_host_limit > 0 ? item.step->per_host_limit : item.step->count;
@@ -57,7 +57,7 @@
     return waiting;
 }
 
-// The step is ready, so some of its tasks wait; some of these may be planned already.
+// The step is ready, so some of its tasks wait, but starts may already be planned for all of them.
 bool dispatcher::has_waiting_tasks(const candidate& item) const
 {
     const auto planned = m_planned.lower_bound(task_ref{item.ref, 0});
@@ -65,7 +65,7 @@
     return none_planned || waiting_tasks(item) > 0;
 }
 
-// Tasks of a step that its organisation's limit leaves room for; of a gang all or none.
+// The number of tasks of a step that the quota of its organisation still permits; for a gang all or none.
 std::uint32_t dispatcher::permitted_tasks(const candidate& item) const
 {
     const auto planned = m_planned_by.find(item.owner->organisation);
@@ -98,8 +98,8 @@
     return out;
 }
 
-// Room on a host for tasks of a step. What is held for gangs counts for the gang itself, for urgent and
-// lasting work where there is no other, and for runs that end before a reservation is due.
+// Capacity that a step may use on a host. Held capacity counts for the gang that holds it, for urgent and
+// long-running work if nothing else is free, and for runs that end before a reservation is due.
 resources dispatcher::room_for(const candidate& item, const host_row& row, monotonic_time now) const
 {
     if (item.urgent() || item.step->lasting)
@@ -108,7 +108,7 @@
     }
     const auto hold = m_holds.find(item.ref);
     const bool holds = hold != m_holds.end() && hold->second.tasks.contains(row.worker->id);
-    if (holds && hold->second.ahead) // goes before what other gangs gather
+    if (holds && hold->second.ahead) // reservations take precedence over the holds of other gangs
     {
         return row.open - reserved_for_others(item, row.worker->id, false, now);
     }
@@ -124,7 +124,7 @@
     return room;
 }
 
-// The median of the faster half, so that a third of slow hosts does not pull it down.
+// Takes the median of the faster half, so that up to a third of slow hosts does not lower it.
 void dispatcher::learn_usual_speed()
 {
     std::vector<double> speeds;
@@ -153,7 +153,8 @@
     return required.empty() || std::find(labels.begin(), labels.end(), required) != labels.end();
 }
 
-// The ticket to start a task of the step there; "-" where none is needed, empty where none counts.
+// The ticket for starting a task of the step on a worker; "-" if none is needed, empty if there is no valid
+// one.
 std::string_view dispatcher::ticket_for(const candidate& item, worker_life_id worker, monotonic_time now)
 {
     if (item.queue == nullptr || !item.queue->advised)
@@ -167,7 +168,7 @@
     return counts ? std::string_view(entry->second.ticket) : std::string_view{};
 }
 
-// Returns false if workers were looked at in vain.
+// Returns false if workers were considered but nothing could be started.
 bool dispatcher::place(const candidate& item, monotonic_time now)
 {
     if (item.queue != nullptr && item.queue->advised)
@@ -175,13 +176,13 @@
         const step_advice& known = m_advice.of(item.ref);
         if (known.open_questions > 0 && known.entries.empty())
         {
-            return true; // nothing is known yet, and the question is on its way
+            return true; // nothing is known until the first query is answered
         }
     }
     return item.step->gang ? place_gang(item, now) : place_each(item, now);
 }
 
-// Workers that failed this step before are left out, as long as others may take it.
+// Workers on which tasks of this step failed are excluded as long as enough others can take it.
 std::set<worker_life_id> dispatcher::failed_before(const candidate& item)
 {
     const auto& tasks = item.owner->rounds[item.ref.round.value()].steps[item.ref.step].tasks;
@@ -217,9 +218,10 @@
     return others >= need * 2 ? failed : std::set<worker_life_id>{};
 }
 
-// Hosts come last that were not heard since another one of their rack could not be reached, or for longer
-// than looks are held back. What was lost with a host goes to the one that was heard last: a second lease in
-// a row would double its wait.
+// Sort key of hosts that may be unreachable although no call to them has failed; lower is better. Hosts come
+// last if they have not answered since another host of their rack was suspected, or for longer than a poll is
+// held open. Tasks lost with a host prefer the hosts with the latest contact, as waiting for a second lease
+// to expire would double their delay.
 int dispatcher::doubt_about(const candidate& item, const host_row& row, monotonic_time now) const
 {
     constexpr int most = 1000;
@@ -260,7 +262,7 @@
     return o;
 }
 
-// All workers that may ever take the step, as far as is known.
+// All workers that are eligible for the step, whether or not they have free capacity now.
 std::vector<dispatcher::offer> dispatcher::find_offers(const candidate& item, monotonic_time now)
 {
     const std::set<worker_life_id> failed = failed_before(item);
@@ -288,7 +290,7 @@
     return entry != known.entries.end() && entry->second.good;
 }
 
-// Workers that may run the step as far as the advisor has said, whether or not a ticket still counts.
+// Workers that the advisor has approved for the step, whether or not their tickets are still valid.
 std::vector<dispatcher::offer> dispatcher::find_good_offers(const candidate& item, monotonic_time now)
 {
     if (item.queue == nullptr || !item.queue->advised)
@@ -308,7 +310,7 @@
     return offers;
 }
 
-// Those that can take a task of the step now: room, and a ticket where one is needed.
+// Workers that can take a task of the step now: they have free slots, and a valid ticket if one is needed.
 std::vector<dispatcher::offer> dispatcher::find_open_offers(const candidate& item, monotonic_time now)
 {
     std::vector<offer> offers = find_good_offers(item, now);
@@ -320,25 +322,25 @@
     return offers;
 }
 
-// Tasks of gangs are large; a lesser task that leaves as many of them room as before does no harm there.
+// Whether a host could still take as many large tasks, such as those of gangs, after starting this one.
 bool dispatcher::keeps_large_slots(const resources& room, const resources& need) const
 {
     return count_slots(m_large_task, room) == count_slots(m_large_task, room - need);
 }
 
 // ---------------------------------------------------------------------------------------------------------
-// Tasks one by one
+// Tasks placed individually
 // ---------------------------------------------------------------------------------------------------------
 
-// Whether the step looked at all its hosts a moment ago and found too little room.
+// Whether all hosts were scanned for the step a moment ago and had too little free capacity.
 bool dispatcher::looked_at_lately(const candidate& item, monotonic_time now) const
 {
     const auto waits = m_waiting.find(item.ref);
     return !item.presses() && waits != m_waiting.end() && now < waits->second.look_again;
 }
 
-// Only hosts where room came free since the step looked last: the others had none for it. With hundreds of
-// steps that wait, looking at all their hosts each time would take most of a core.
+// Only considers hosts on which capacity became free since the step's last scan, as the others had none for
+// it. With hundreds of waiting steps, scanning all their hosts each time would take most of a core.
 std::vector<dispatcher::offer> dispatcher::find_new_offers(const candidate& item, monotonic_time now)
 {
     const auto news = m_news.since(m_waiting.at(item.ref).seen);
@@ -369,7 +371,7 @@
     return offers;
 }
 
-// Chooses a host for each waiting task; counts those without one.
+// Chooses a host for each waiting task. Adds the number of tasks without a host to `left`.
 void dispatcher::plan_each(const candidate& item, std::vector<offer>& offers,
                            std::vector<planned_start>& starts, std::vector<std::string>& tickets,
                            std::uint32_t& left) const
@@ -385,7 +387,7 @@
         }
         if (starts.size() >= item.permitted)
         {
-            return; // what is left waits for its organisation, not for room
+            return; // the remaining tasks wait for their organisation's quota, not for capacity
         }
         while (fit != offers.end() && fit->slots == 0)
         {
@@ -410,11 +412,12 @@
     if (lately && offers.empty())
     {
         m_waiting.at(item.ref).seen = news;
-        return true; // that cost next to nothing
+        return true; // nothing was scanned, so it does not count as a failed placement
     }
-    // The rack with the data first; then what leaves whole hosts free for gangs; urgent work on fast hosts
-    // and other work on slow ones, which gangs avoid; then from the low end of the list, as gangs fill it
-    // from the high end.
+    // After hosts that are risky or shared with work that would be disturbed are put last: prefers the rack
+    // with the data, then capacity that is not held, fast hosts for urgent work and slow ones, which gangs
+    // avoid, for other work, hosts that keep slots for large tasks, and the low end of the ids, as gangs fill
+    // hosts from the high end.
     const bool urgent = item.urgent();
     std::sort(offers.begin(), offers.end(),
               [urgent](const offer& a, const offer& b)
--- a/src/dispatch/dispatcher_preempt.cpp
+++ b/src/dispatch/dispatcher_preempt.cpp
@@ -1,4 +1,4 @@
-// The part of dispatcher that makes room: lesser runs are stopped.
+// dispatcher: preemption of runs of lower priority.
 
 #include <walkthread/dispatch/dispatcher.hpp>
 
@@ -11,11 +11,11 @@
 
 namespace
 {
-constexpr double least_left_ms = 700; // a run that ends sooner is waited for: a stop takes up to 400 ms
-constexpr duration preempt_gap = milliseconds(600); // for one step: a stop, its end, and the commit of both
+constexpr double least_left_ms = 700; // runs that end sooner are not stopped: a stop takes up to 400 ms
+constexpr duration preempt_gap = milliseconds(600); // per step: time for a stop, the run's end and its commit
 } // namespace
 
-// What a run would lose by a stop is small where it has checkpoints; others are left to end.
+// Only runs with checkpoints are preempted, as they lose little; others run to their end.
 bool dispatcher::may_preempt(const candidate& item, const run_ref& run, const run_view& known) const
 {
     const submission* owner = m_state.find(run.task.step.submission);
@@ -60,8 +60,8 @@
     }
 }
 
-// Stops lesser runs on one host until `need` tasks of the step fit, if that can be reached.
-// Returns how many tasks it makes room for.
+// Stops runs of lower priority on one host so that up to `need` tasks of the step fit; stops none if that
+// makes no more tasks fit. Returns the number of tasks that will fit.
 std::uint32_t dispatcher::preempt_on(const candidate& item, const offer& o, const resources& room,
                                      std::uint32_t need, monotonic_time now)
 {
--- a/src/dispatch/dispatcher_reports.cpp
+++ b/src/dispatch/dispatcher_reports.cpp
@@ -1,4 +1,4 @@
-// The part of dispatcher that hears workers' reports: which lives there are, and which of them leave.
+// dispatcher: worker reports, which tell which incarnations exist and which of them are leaving.
 
 #include <walkthread/dispatch/dispatcher.hpp>
 
@@ -20,30 +20,30 @@
     }
     if (known != nullptr && !known->assumed && report.sequence < known->facts_sequence)
     {
-        // Its room has changed since: with an older room put back, tasks went over it.
+        // The worker's capacity may have changed since: going back to an older one led to overcommitted
+        // hosts.
         note(now, "report_not_taken", report.facts.id,
-             {{"reason", "older than what is known"}, {"sequence", report.sequence}});
+             {{"reason", "older than the last accepted report"}, {"sequence", report.sequence}});
         done(true);
         return;
     }
     if (lacks_birth(report))
     {
         note(now, "report_not_taken", report.facts.id,
-             {{"reason", "it does not say when it started, as workers here do"},
-              {"address", report.facts.address}});
+             {{"reason", "process start time missing"}, {"address", report.facts.address}});
         done(false);
         return;
     }
     if (!names_known_pool(report))
     {
         note(now, "report_not_taken", report.facts.id,
-             {{"reason", "no such pool"}, {"pool", report.facts.pool}, {"address", report.facts.address}});
-        done(false); // a worker of a pool that is configured later reports again until then
+             {{"reason", "unknown pool"}, {"pool", report.facts.pool}, {"address", report.facts.address}});
+        done(false); // the worker keeps reporting, so its pool may be configured later
         return;
     }
     if (!m_joining.insert(report.facts.host).second)
     {
-        done(false); // a report of this host is being looked into; the worker reports again
+        done(false); // a report of this host is already in progress; the worker reports again
         return;
     }
     const worker_life* present = m_state.find_host(report.facts.host);
@@ -55,8 +55,8 @@
     admit(report, {}, done);
 }
 
-// Where workers tell when they started, a report that does not is of another writer. All do or none does, so
-// the first one known tells.
+// Whether a report lacks the process start time although workers here send one: then it does not come from a
+// worker of this cell. Either all workers send it or none, so it is enough to check one of them.
 bool dispatcher::lacks_birth(const worker_report& report) const
 {
     const auto& workers = m_state.workers();
@@ -64,7 +64,8 @@
            workers.begin()->second.facts.born != birth_ms{};
 }
 
-// Before there is a catalogue nobody can tell; workers that report then are known when work comes.
+// Accepts any pool until there is a cluster configuration, so that workers that report early are known when
+// work arrives.
 bool dispatcher::names_known_pool(const worker_report& report) const
 {
     const auto& held = m_state.held_catalogue();
@@ -99,10 +100,10 @@
     }
 }
 
-// Whether a worker leaves is acknowledged once the next leader would know it as well: it hears the worker
-// seconds after it began to lead, as reports went to the former one. Each report of a worker that leaves is
-// recorded with its number: else the next leader would believe an older one that says otherwise and comes
-// late.
+// Acknowledges that a worker is leaving only after this is committed: a new leader gets the worker's reports
+// only seconds after its election, as they went to the previous leader. Each report of a leaving worker is
+// recorded with its sequence number, so that the next leader ignores an older, delayed report that says
+// otherwise.
 void dispatcher::record_leaving(const worker_life& known, const worker_report& report,
                                 const std::function<void(bool)>& done)
 {
@@ -129,9 +130,10 @@
                     });
 }
 
-// A report that a cut held back may come after its life has ended and another one has begun on the host: its
-// arrival does not make it the newer one. So the address is asked who lives there, before the work of the
-// life that is present is given up: else it ran twice.
+// A report delayed by a network partition may arrive after its incarnation has ended and another one has
+// started on the host, so the order of arrival does not tell which is newer. Polls the reported address to
+// find out which incarnation runs there before the work of the known one is given up: otherwise that work ran
+// twice.
 void dispatcher::ask_who_lives_there(const worker_report& report, worker_life_id present,
                                      const std::function<void(bool)>& done)
 {
@@ -225,8 +227,8 @@
     }
     if (!known->leaving)
     {
-        // A word of a former life that came late, or of a life that nobody heard leaving: the next looks
-        // tell.
+        // A delayed notice of a former incarnation, or of one that never reported that it was leaving: the
+        // next polls tell.
         note(m_hooks.now(), "leave_not_taken", id, {{"born", known->facts.born.value()}});
         done(true);
         return;
--- a/src/dispatch/dispatcher_reserve.cpp
+++ b/src/dispatch/dispatcher_reserve.cpp
@@ -1,4 +1,4 @@
-// The part of dispatcher that keeps hosts for large tasks until enough of what runs there has ended.
+// dispatcher: hosts reserved for large tasks until enough of the runs there have ended.
 
 #include <walkthread/dispatch/dispatcher.hpp>
 
@@ -12,11 +12,13 @@
 
 namespace
 {
-constexpr std::uint32_t most_large_per_host = 2; // of a large task; smaller ones find room as others end
-constexpr std::size_t most_reserved_late = 1;    // hosts at a time for tasks that are late in any case
+// A task is large if no more than this many fit on an empty host; smaller ones fit as soon as others end.
+constexpr std::uint32_t most_large_per_host = 2;
+constexpr std::size_t most_reserved_late = 1; // hosts reserved at a time for tasks that will be late anyway
 } // namespace
 
-// How much longer a run may take, by its estimate and the progress that the host told.
+// Expected remaining time of a run, from its estimate and reported progress; none if it does not end by
+// itself.
 std::optional<double> dispatcher::expected_left_ms(const run_ref& run, const run_view& known) const
 {
     const submission* owner = m_state.find(run.task.step.submission);
@@ -47,8 +49,8 @@
     return runs;
 }
 
-// Hosts that are kept for tasks which compete with those of a step. Work that is late does not count for work
-// that can be on time.
+// The number of hosts reserved for other steps that compete with this one. Reservations of late work do not
+// count against work that can still be on time.
 std::size_t dispatcher::reserved_hosts(const candidate& item) const
 {
     std::size_t count = 0;
@@ -72,8 +74,8 @@
         1, static_cast<std::size_t>(static_cast<double>(pool) * m_settings.reserved_share));
 }
 
-// Without this, a task that needs most of a host never starts on a busy pool: whatever ends there makes room
-// for smaller tasks first.
+// Reserves hosts for large tasks. Without this, a task that needs most of a host never starts in a busy pool,
+// as smaller tasks take the resources of each run that ends.
 void dispatcher::reserve_hosts(const candidate& item, std::uint32_t left, monotonic_time now)
 {
     if (!uses(mechanism::reservations) || item.urgent() || item.step->lasting)
@@ -148,8 +150,8 @@
     }
 }
 
-// Reserved hosts whose room comes about when a question about them is answered, and that have no ticket which
-// counts then.
+// Reserved hosts on which the task is expected to fit by the time a query about them is answered, and that
+// have no ticket that is still valid then.
 std::vector<worker_life_id> dispatcher::hosts_soon_free(const candidate& item, const room_hold& hold,
                                                         monotonic_time now)
 {
@@ -176,7 +178,7 @@
     return soon;
 }
 
-// No host with an answer may run it: asks about others, whatever room they have now.
+// If no approved host can be reserved, queries the advisor about other hosts, whatever is free there now.
 void dispatcher::learn_large_hosts(const candidate& item, monotonic_time now)
 {
     if (item.queue == nullptr || !item.queue->advised || !may_ask(item, false, now))
--- a/src/dispatch/dispatcher_restarts.cpp
+++ b/src/dispatch/dispatcher_restarts.cpp
@@ -1,4 +1,4 @@
-// The part of dispatcher that meets new lives of workers under the ids that they had.
+// dispatcher: workers that restart under the same id.
 
 #include <walkthread/dispatch/dispatcher.hpp>
 
@@ -24,8 +24,8 @@
           {"leaving", worker.leaving}});
 }
 
-// A new life answers under the id of the known one. It is admitted with what is known of its host, so that
-// what it runs or has ended counts; new work goes there once it has reported.
+// A new incarnation answers under the id of the known one. It is admitted with the known description of its
+// host, so that its runs and their ends are recorded; new work goes there once it has reported.
 void dispatcher::take_restart(worker_view& view, const look_answer& answer, monotonic_time now)
 {
     if (view.gone)
@@ -53,7 +53,7 @@
                     });
 }
 
-// At once, while the former life's view is there to take over from.
+// Polls a new incarnation at once, while the view of the former one still exists to carry state over from.
 void dispatcher::look_at_new_life(const life_ref& life, monotonic_time now)
 {
     sync_views(now);
@@ -65,7 +65,7 @@
     }
 }
 
-// What ended with the former life: what it had been told to run, but for what the new one lists.
+// Runs that ended with the former incarnation: all it was ordered to run, except those the new one lists.
 std::vector<lost_run> dispatcher::lost_at_restart(const worker_view& former, const look_answer& answer,
                                                   monotonic_time now) const
 {
@@ -83,8 +83,8 @@
     return lost;
 }
 
-// An order for the former life that got no answer may still be carried out by this one, beside the same task
-// started elsewhere: a stop rules that out.
+// A start order for the former incarnation that got no answer may still be carried out by this one, while
+// the same task is started elsewhere. Stops such runs to rule that out.
 void dispatcher::rule_out_late_starts(worker_view& view, monotonic_time now)
 {
     std::vector<run_ref> open;
--- a/src/dispatch/dispatcher_rests.cpp
+++ b/src/dispatch/dispatcher_rests.cpp
@@ -1,4 +1,4 @@
-// The part of dispatcher that leaves workers without work alone where connections are fewer than workers.
+// dispatcher: reduced polling of idle workers where there are more workers than connections.
 
 #include <walkthread/dispatch/dispatcher.hpp>
 
@@ -9,18 +9,18 @@
 
 namespace
 {
-constexpr int longest_rest =
-    2; // times the usual one: rests are spread by a quarter, and looks wait for connections
+// Times the usual idle interval: intervals are spread by up to a quarter, and polls wait for connections.
+constexpr int longest_rest = 2;
 } // namespace
 
-// Where there are more workers than connections for looks, those without work are asked seldom and keep none:
-// each look would take a connection away from a worker that has work.
+// Where there are more workers than connections for polls, idle workers are polled rarely and keep no
+// connection: each poll would take one away from a worker that has work.
 bool dispatcher::may_rest(const worker_view& view) const
 {
     return m_views.size() > m_settings.look_connections && view.runs.empty() && view.late_starts.empty();
 }
 
-// Some worker answers within that time, unless the leader is cut off.
+// Unless the leader is partitioned, at least one worker answers within that time.
 duration dispatcher::longest_quiet() const
 {
     const bool rests = m_views.size() > m_settings.look_connections;
@@ -29,13 +29,13 @@
 
 void dispatcher::rest(worker_view& view, monotonic_time now) const
 {
-    // Spread, as all of them answer a new leader at about the same time.
+    // Spreads the polls, as all workers answer a new leader at about the same time.
     const auto spread = m_settings.idle_look_gap / 4 * (view.id.value() % 4U) / 4;
     view.look_due = now + m_settings.idle_look_gap + spread;
     view.contact.rest(view.look_due);
 }
 
-// Its answer tells whether the leader is cut off.
+// Polls one idle worker, whose answer tells whether the leader is partitioned.
 void dispatcher::ask_a_resting_worker(monotonic_time now)
 {
     const auto resting = std::find_if(m_views.begin(), m_views.end(),
--- a/src/dispatch/dispatcher_sharing.cpp
+++ b/src/dispatch/dispatcher_sharing.cpp
@@ -1,5 +1,5 @@
-// The part of dispatcher for hosts on which tasks that serve users and tasks that fill the rest work side by
-// side.
+// dispatcher: pacing of filling tasks, which use spare capacity, on hosts that they share with serving tasks,
+// which have a latency target.
 
 #include <walkthread/dispatch/dispatcher.hpp>
 
@@ -13,13 +13,13 @@
 namespace
 {
 constexpr std::int32_t full_pace = 100; // percent
-constexpr std::int32_t least_pace = 10; // below that, fillers rest: their disturbance no longer shrinks much
-constexpr std::int32_t pace_gain = 10;  // percent, each time that the tail has been low for a while
-constexpr double low_tail = 0.7;        // of the target: fillers may work more
+constexpr std::int32_t least_pace = 10; // percent; paused below that, as a lower pace hardly disturbs less
+constexpr std::int32_t pace_gain = 10;  // percent, each time the tail latency has been low for a while
+constexpr double low_tail = 0.7;        // share of the latency target below which the pace may rise
 } // namespace
 
-// Follows the tails that serving tasks report, and how much what fills beside them may work: half as much
-// with each report over the target, nothing once that goes on, and back in small steps.
+// Sets the pace of filling tasks from the tail latencies that serving tasks on the host report:
+// halves it while the target is exceeded, pauses them if that lasts, and raises it again in small steps.
 void dispatcher::pace_fillers(worker_view& view, const look_answer& answer, monotonic_time now)
 {
     bool over = false;
@@ -82,7 +82,7 @@
     }
 }
 
-// Tells the fillers of a host their pace, where they do not work at it yet.
+// Sends the pace to those filling tasks of a host that do not run at it yet.
 void dispatcher::send_paces(worker_view& view, monotonic_time now)
 {
     for (auto& [run, known] : view.runs)
@@ -113,13 +113,13 @@
                          found->second.pace_in_flight = false;
                          if (answer.outcome == order_outcome::accepted)
                          {
-                             found->second.pace = percent; // else it is sent again after the next look
+                             found->second.pace = percent; // otherwise resent after the next poll
                          }
                      });
     }
 }
 
-// Whether a lasting task may be ended by our own doing: not while as many others of its step are away as may.
+// Whether a long-running task may be stopped: not if its step already misses as many tasks as it may.
 bool dispatcher::may_end_lasting(const run_ref& run)
 {
     const step_spec* step = m_state.find(run.task.step);
@@ -145,8 +145,8 @@
         return false;
     }
     const auto known = view->runs.find(run_ref{ref, task->run});
-    // An earlier leader may have stopped it a moment ago, which this one does not know: after a hand-over,
-    // two tasks of which one may be away were away.
+    // An earlier leader may have stopped it a moment ago, unknown to this one. Without this check, two tasks
+    // of a step that may miss one were stopped around a change of leader.
     if (known != view->runs.end() && known->second.inherited &&
         view->contact.heard() < m_began + m_settings.stops_show)
     {
--- a/src/dispatch/dispatcher_suspects.cpp
+++ b/src/dispatch/dispatcher_suspects.cpp
@@ -1,4 +1,4 @@
-// The part of dispatcher that places tasks which may crash their hosts.
+// dispatcher: placement of crash suspects, tasks that may crash their hosts.
 
 #include <walkthread/dispatch/dispatcher.hpp>
 
@@ -7,8 +7,8 @@
 namespace walkthread
 {
 
-// Tasks that may crash their hosts go where the least is lost, apart from those of other submissions. Counts
-// those without room; true if one has to wait for another reason.
+// Places crash suspects where a crash would lose the least, and apart from those of other submissions. Adds
+// the number of tasks that fit nowhere to `left`. Returns true if a task has to wait for another reason.
 bool dispatcher::plan_suspects(const candidate& item, std::vector<offer>& offers,
                                std::vector<planned_start>& starts, std::vector<std::string>& tickets,
                                std::uint32_t& left, monotonic_time now) const
@@ -49,7 +49,8 @@
     return waits;
 }
 
-// Less is better. Beside what has just begun there a crash would tell of neither.
+// Lower is better. Avoids hosts on which runs of other submissions have just started: after a crash it could
+// not be told which run caused it.
 std::tuple<int, bool, std::size_t> dispatcher::cost_of_suspect(const candidate& item, const offer& o,
                                                                monotonic_time now) const
 {
--- a/src/dispatch/dispatcher_unheard.cpp
+++ b/src/dispatch/dispatcher_unheard.cpp
@@ -1,4 +1,4 @@
-// The part of dispatcher that tells of runs on workers that nobody has heard for longer than a lease.
+// dispatcher: workers that have not answered for longer than a lease, and suspected racks.
 
 #include <walkthread/dispatch/dispatcher.hpp>
 
@@ -9,8 +9,8 @@
 namespace walkthread
 {
 
-// A rack that loses its power takes its hosts away together: one that was not heard since may be gone as
-// well.
+// Hosts of a rack that loses power fail together, so a host that has not answered since another one of its
+// rack was suspected may be down as well.
 void dispatcher::find_doubted_racks()
 {
     m_doubted_racks.clear();
@@ -25,7 +25,7 @@
     }
 }
 
-// One line a second at most: the worker with runs that has been unheard for longest.
+// Logs the worker with runs that has been unresponsive for longest, at most one line a second.
 void dispatcher::note_unheard(monotonic_time now)
 {
     const worker_view* longest = nullptr;
--- a/src/dispatch/dispatcher_upkeep.cpp
+++ b/src/dispatch/dispatcher_upkeep.cpp
@@ -1,4 +1,4 @@
-// The part of dispatcher that takes hosts down for upkeep, wave by wave.
+// dispatcher: drains hosts for maintenance, in waves.
 
 #include <walkthread/dispatch/dispatcher.hpp>
 
@@ -10,8 +10,8 @@
 
 namespace
 {
-constexpr duration order_retry = milliseconds(400); // between two orders for one host; calls are rationed
-constexpr double hurry_part = 0.6; // of a wave's time, after which runs are stopped instead of waited for
+constexpr duration order_retry = milliseconds(400); // per host, as calls are rate-limited
+constexpr double hurry_part = 0.6; // share of a wave's time after which runs are stopped, not waited for
 } // namespace
 
 void dispatcher::advance_waves(monotonic_time now, wall_ms wall)
@@ -26,8 +26,8 @@
     }
 }
 
-// Whether nobody has come back there for so long that the host is not down for its upkeep: it does not keep
-// others from their turn.
+// Whether a host has had no worker for longer than its maintenance can take. Such a host no longer delays the
+// others of its wave.
 bool dispatcher::lost_in_upkeep(const std::string& host, monotonic_time now)
 {
     if (m_state.find_host(host) != nullptr)
@@ -43,8 +43,8 @@
     return lost;
 }
 
-// Whether some of what lasts there may not be ended now, and has not been for a while: its step misses too
-// much as it is, maybe for good.
+// Whether the host has had long-running tasks that may not be stopped for a while, because their step already
+// misses too many tasks. That may never change.
 bool dispatcher::blocks_its_turn(const std::string& host, monotonic_time now)
 {
     const worker_life* life = m_state.find_host(host);
@@ -61,8 +61,9 @@
     return now - m_upkeep_blocked.emplace(host, now).first->second > m_settings.upkeep_blocked;
 }
 
-// The hosts whose turn it is: first those that are being ordered, then those that were and let others pass,
-// then those that wait, last those of them that may not be emptied.
+// The hosts to drain now, at most `wave.at_once` down at a time. Hosts with an order in progress go first,
+// then those whose order no longer delays the others, then waiting hosts, and last the waiting hosts that may
+// not be drained.
 std::set<std::string> dispatcher::choose_hosts(const upkeep_wave& wave, monotonic_time now)
 {
     std::array<std::vector<std::string>, 3> turns;
@@ -81,8 +82,8 @@
             turns.at(first ? 0 : ordered ? 1 : 2).push_back(host);
         }
     }
-    // An earlier leader let hosts pass: which of those ordered are down is not known, until all surely are
-    // back.
+    // An earlier leader has let other hosts pass ordered ones. Which of the ordered hosts are down is unknown
+    // until all of them must be back.
     if (down + turns[0].size() > wave.at_once && now - m_began <= m_settings.upkeep_lost)
     {
         return {};
@@ -152,7 +153,7 @@
                 m_upkeep_passed.erase(host);
                 m_hooks.propose(
                     advance_upkeep{number, host, static_cast<std::uint8_t>(upkeep_phase::under_way)},
-                    [](bool /*committed*/) {}); // asked again after a change of leader; that is harmless
+                    [](bool /*committed*/) {}); // a new leader may order it again, which is harmless
             }
         };
         m_hooks.propose(advance_upkeep{wave.wave, host, static_cast<std::uint8_t>(upkeep_phase::ordered)},
@@ -170,9 +171,9 @@
     }
 }
 
-// The platform's answer to an order is the same for an upkeep that was done before, when the host's next life
-// may be admitted already: a life that answers well after it is that one. Else a wave would wait for ever for
-// a return that it has not seen.
+// The platform answers an order in the same way if the maintenance was done before, and the next incarnation
+// on the host may already be admitted by then. So an incarnation that answers a poll sent well after that
+// answer counts as having returned; otherwise the wave would wait for ever for a return that it missed.
 void dispatcher::await_return(const upkeep_wave& wave, const worker_life& worker, monotonic_time now)
 {
     const std::string& host = worker.facts.host;
@@ -188,10 +189,11 @@
     m_upkeep_retry[host] = now + order_retry;
     note(now, "upkeep_over", host, {{"wave", wave.wave}, {"worker", worker.facts.id}});
     m_hooks.propose(advance_upkeep{wave.wave, host, static_cast<std::uint8_t>(upkeep_phase::finished)},
-                    [](bool /*committed*/) {}); // proposed again while the phase stays
+                    [](bool /*committed*/) {}); // proposed again until the phase changes
 }
 
-// Whether nothing runs there any more; when in a hurry, what runs is stopped.
+// Stops the runs on a host that move at little cost, and with `force_stop` all others that may be stopped.
+// Returns whether the host is idle.
 bool dispatcher::empty_host(const worker_life& worker, monotonic_time now, bool hurry)
 {
     worker_view& view = m_views[worker.id];
--- a/src/dispatch/dispatcher_waiting.cpp
+++ b/src/dispatch/dispatcher_waiting.cpp
@@ -1,4 +1,4 @@
-// The part of dispatcher that tells what waits although hosts have room for it.
+// dispatcher: log lines about steps that wait although hosts have free capacity.
 
 #include <walkthread/dispatch/dispatcher.hpp>
 
@@ -12,13 +12,13 @@
 
 namespace
 {
-constexpr wall_ms told_after = 3000; // callers may expect work to run by then where most room is free
+constexpr wall_ms told_after = 3000; // ms; in a mostly idle pool, work should have started by then
 constexpr duration told_every = seconds(1);
-constexpr std::size_t most_named = 4; // gangs in one line that gather before another
+constexpr std::size_t most_named = 4; // other gangs with holds named in one line
 } // namespace
 
-// One line a second at most: the step that has waited for longest, and what keeps work off each host that has
-// room for a task of it.
+// Logs, at most once a second, the step that has waited longest and why no work goes to the hosts that have
+// free capacity for one of its tasks.
 void dispatcher::note_waiting(monotonic_time now, wall_ms wall)
 {
     if (now < m_waiting_due)
@@ -48,8 +48,8 @@
     note_waiting_gang(now, wall);
 }
 
-// One line a second at most: the gang that has waited for longest, what its good hosts have, and which gangs
-// gather before it.
+// Logs, at most once a second, the gang that has waited longest, the free slots of its approved hosts, and
+// other gangs that hold capacity.
 void dispatcher::note_waiting_gang(monotonic_time now, wall_ms wall)
 {
     std::optional<candidate> longest;
@@ -69,7 +69,7 @@
     {
         return;
     }
-    static_cast<void>(rate(*longest, wall)); // the outlook decides which gangs go before it
+    static_cast<void>(rate(*longest, wall)); // its timeliness decides which holds count against it
     longest->placed = placed_tasks(*longest);
     std::uint32_t free = 0;
     std::uint32_t open = 0;
--- a/src/dispatch/dispatcher_workers.cpp
+++ b/src/dispatch/dispatcher_workers.cpp
@@ -1,4 +1,4 @@
-// The part of dispatcher that looks at workers: leases, what runs and what ended.
+// dispatcher: polls workers to renew their leases and to learn which runs they have and which have ended.
 
 #include <walkthread/dispatch/dispatcher.hpp>
 
@@ -12,16 +12,16 @@
 
 namespace
 {
-constexpr std::size_t listed_at_once = 500; // a worker lists at most that many ends in one answer
-constexpr double speed_weight = 0.1;        // of one run whose estimate is sound: a dozen settle it
-constexpr double sound_spread = 0.06;       // of estimates that are about a quarter off
-constexpr double look_weight = 0.005;       // of one look in the part that is lost: about the last second
-constexpr double least_speed = 0.3;         // one run says at most that much
+constexpr std::size_t listed_at_once = 500; // ends that a worker lists in one answer at most
+constexpr double speed_weight = 0.1;        // smoothing for runs with reliable estimates: settles in a dozen
+constexpr double sound_spread = 0.06;       // spread of estimates that are off by about a quarter
+constexpr double look_weight = 0.005;       // smoothing of the share of lost polls: about the last second
+constexpr double least_speed = 0.3;         // bounds the effect of a single run
 constexpr double most_speed = 2.5;
 } // namespace
 
 // ---------------------------------------------------------------------------------------------------------
-// Looks and leases
+// Polls and leases
 // ---------------------------------------------------------------------------------------------------------
 
 void dispatcher::look_at_all(monotonic_time now)
@@ -32,7 +32,7 @@
             view.look_in_flight && now - view.look_sent > m_settings.look_wait + 2 * m_settings.look_patience;
         if (overdue)
         {
-            view.look_in_flight = false; // its answer, if it comes, still counts
+            view.look_in_flight = false; // a late answer still counts
         }
         if (!view.look_in_flight && !view.recording && !view.gone && now >= view.look_due)
         {
@@ -51,8 +51,8 @@
     look_order order;
     order.to = address_of(view.id);
     order.last_seen = worker->listed_up_to;
-    // A worker that may hear us while we do not hear it must lose its lease some time: then only a question
-    // goes.
+    // A worker whose answers are lost may still receive polls. Its lease has to expire at some time, so a
+    // poll of an unresponsive worker does not renew it.
     const bool silent = view.contact.unheard_for(now) > m_settings.silent_after();
     if (view.clock_known && !silent)
     {
@@ -62,7 +62,7 @@
     const milliseconds wait = looks_get_lost() ? m_settings.short_look_wait
                               : shared         ? m_settings.sharing_look_wait
                                                : m_settings.look_wait;
-    // Open orders are settled by what runs there now: a look that is held back until an end would tell late.
+    // Unanswered orders are resolved by the list of runs, which a poll that waits for an end would delay.
     const bool waits = view.answered && !view.settles() && !view.has_open_start() && !may_rest(view);
     order.wait_ms = waits ? wait.count() : 0;
     order.patience = looks_get_lost() ? m_settings.short_look_patience : m_settings.look_patience;
@@ -78,7 +78,7 @@
                  });
 }
 
-// Only workers that live tell how many looks get lost.
+// Only polls of responsive workers count, as those of failed ones say nothing about lost messages.
 void dispatcher::note_look(const worker_view& view, bool lost, monotonic_time now)
 {
     const bool lives = view.contact.unheard_for(now) < m_settings.silent_after();
@@ -106,34 +106,34 @@
         return;
     }
     const birth_ms known = m_state.find(worker)->facts.born;
-    // A list without a birth is of another writer, where the worker's reports have one.
+    // An answer without a process start time does not come from this worker if its reports have one.
     const bool foreign =
         answer.outcome == order_outcome::accepted && known != birth_ms{} && answer.born == birth_ms{};
     const bool lost = answer.outcome == order_outcome::unanswered || foreign;
-    if (!never_left(answer.outcome)) // else nothing got lost on its way
+    if (!never_left(answer.outcome)) // a poll that was not sent was not lost
     {
         note_look(*view, lost, now);
     }
     if (answer.outcome != order_outcome::accepted || foreign)
     {
-        // A connection that breaks may be all that is wrong: the next look tells, at once the first time.
+        // It may only be a broken connection, so the first failed poll is repeated at once.
         const bool at_once = lost && (looks_get_lost() || !view->contact.doubted());
         if (answer.outcome != order_outcome::not_sent && view->contact.doubted())
         {
             keep_last_word(*view, now);
         }
         const bool first = lost && !view->contact.doubted();
-        view->contact.note_failed_look(answer.outcome, sent, now); // a refused one renews no lease either
+        view->contact.note_failed_look(answer.outcome, sent, now); // a refused poll renews no lease either
         view->look_due = at_once ? now : now + m_settings.look_retry;
         if (first && !view->look_in_flight && !view->recording)
         {
-            look_at(*view, now); // the sooner it is known, the less is lost with this leader
+            look_at(*view, now); // the sooner a failure is known, the less is lost if this leader fails too
         }
         return;
     }
     if (answer.born != known)
     {
-        // Of an answer that passed one of the known life on the way it cannot be told which is newer.
+        // If the known incarnation answered after this poll was sent, it is unclear which of them is newer.
         view->look_due = now;
         if (sent >= view->contact.heard())
         {
@@ -154,7 +154,7 @@
     forget_last_word(*view);
     if (view->rules_out() || view->has_open_start())
     {
-        view->look_due = now + m_settings.look_retry; // the answers to the orders bring the next one forward
+        view->look_due = now + m_settings.look_retry; // answers to the open orders trigger a poll earlier
     }
     else if (!view->recording && may_rest(*view))
     {
@@ -178,7 +178,7 @@
         const auto found = view.runs.find(listed.run);
         if (found == view.runs.end())
         {
-            send_stop(view, listed.run, now); // carried out late; nobody waits for it
+            send_stop(view, listed.run, now); // late start of a run that is no longer wanted
             continue;
         }
         run_view& known = found->second;
@@ -216,7 +216,7 @@
     record_ends command;
     command.worker = view.id;
     std::set<run_ref> ended;
-    std::set<run_ref> absent; // recorded by an earlier leader, and not there
+    std::set<run_ref> absent; // starts recorded by an earlier leader that the worker does not list
     for (const listed_end& end : answer.ended)
     {
         command.listed_up_to = std::max(command.listed_up_to, end.number);
@@ -290,7 +290,7 @@
                     });
 }
 
-// Starts that an earlier leader recorded and nobody carried out.
+// Handles starts that an earlier leader recorded and that were never carried out.
 void dispatcher::note_absent(const std::set<run_ref>& absent)
 {
     for (const run_ref& run : absent)
@@ -341,7 +341,7 @@
     pending->second.waiting.push_back(std::move(then));
 }
 
-// Learns from an end: run times, and whether the worker fails what it gets.
+// Learns run times and the worker's speed from an end, and avoids workers on which runs keep failing.
 void dispatcher::judge_end(worker_view& view, const listed_end& end, monotonic_time now)
 {
     const submission* owner = m_state.find(end.run.task.step.submission);
@@ -376,7 +376,8 @@
             const double seen = std::clamp(expected / static_cast<double>(std::max<std::int64_t>(took_ms, 1)),
                                            least_speed, most_speed);
             const bool learns =
-                !step.gang && uses(mechanism::learned_speeds); // a gang runs as its slowest member
+                !step.gang &&
+                uses(mechanism::learned_speeds); // a gang runs at the speed of its slowest member
             view.speed += learns ? speed_weight * sound * (seen - view.speed) : 0.0;
         }
     }
@@ -388,7 +389,7 @@
         {
             view.avoid_until = now + view.next_quarantine;
             note(now, "worker_avoided", m_state.find(view.id)->facts.id,
-                 {{"reason", "failures in a row"},
+                 {{"reason", "consecutive failures"},
                   {"failures", view.failures_in_row},
                   {"for_ms", duration(view.next_quarantine)}});
             view.next_quarantine = std::min(2 * view.next_quarantine, m_settings.quarantine_cap);
@@ -406,7 +407,7 @@
         seeks_answer = seeks_answer || kept == keep_reason::nobody_heard;
         if (kept == keep_reason::none)
         {
-            drop_worker_life(view, "its lease is over", false, now);
+            drop_worker_life(view, "lease expired without an answer", false, now);
         }
     }
     if (seeks_answer)
@@ -415,10 +416,10 @@
     }
 }
 
-// A life that is replaced is over for good: a report of it that comes late does not bring it back.
+// A replaced incarnation is dropped for good: a delayed report does not bring it back.
 void dispatcher::drop_replaced(worker_view& view, monotonic_time now)
 {
-    drop_worker_life(view, "another life answers at its address", true, now);
+    drop_worker_life(view, "replaced by another incarnation at its address", true, now);
 }
 
 } // namespace walkthread
