--- a/include/walkthread/dispatch/dispatcher.hpp
+++ b/include/walkthread/dispatch/dispatcher.hpp
@@ -122,8 +122,8 @@
     void stop_unwanted(monotonic_time now);
     void propose_starts(const candidate& item, const std::vector<planned_start>& starts,
                         const std::vector<std::string>& tickets, monotonic_time now);
-    void note(monotonic_time now, std::string_view event, std::string_view subject,
-              std::initializer_list<log_field> fields);
+    void log_event(monotonic_time now, std::string_view event, std::string_view subject,
+                   std::initializer_list<log_field> fields);
 
     // dispatcher_reports.cpp: worker reports and the admission of incarnations
     [[nodiscard]] bool names_known_pool(const worker_report& report) const;
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -53,8 +53,8 @@
     }
 }
 
-void dispatcher::note(monotonic_time now, std::string_view event, std::string_view subject,
-                      std::initializer_list<log_field> fields)
+void dispatcher::log_event(monotonic_time now, std::string_view event, std::string_view subject,
+                           std::initializer_list<log_field> fields)
 {
     m_log.write(now, m_wall, event, subject, fields);
 }
@@ -108,8 +108,8 @@
     view.leaves_at = now + m_settings.lease_cap; // assumed until the worker reports to this leader
     if (worker.leaving)
     {
-        note(now, "worker_draining", worker.facts.id,
-             {{"from", "log"}, {"sequence", worker.leaving_sequence}, {"runs", worker.occupied.size()}});
+        log_event(now, "worker_draining", worker.facts.id,
+                  {{"from", "log"}, {"sequence", worker.leaving_sequence}, {"runs", worker.occupied.size()}});
     }
     const double longest =
         static_cast<double>(m_settings.lease_cap.count()) * (1.0 + 2 * m_settings.clock_drift);
@@ -390,12 +390,12 @@
             m_suspects.note_start(planned.worker, item.ref.submission, now);
         }
     }
-    note(now, "starts_planned", name_of(item.ref),
-         {{"queue", item.owner->queue},
-          {"tasks", starts.size()},
-          {"slack_ms", static_cast<std::int64_t>(item.slack_ms)},
-          {"missed", item.missed()},
-          {"gang", item.step->gang}});
+    log_event(now, "starts_planned", name_of(item.ref),
+              {{"queue", item.owner->queue},
+               {"tasks", starts.size()},
+               {"slack_ms", static_cast<std::int64_t>(item.slack_ms)},
+               {"missed", item.missed()},
+               {"gang", item.step->gang}});
     // A submission is reported as waiting until a worker confirms its first start.
     const bool first = item.owner->state() == submission_phase::queued;
     m_hooks.propose(record_starts{starts},
--- a/src/dispatch/dispatcher_advice.cpp
+++ b/src/dispatch/dispatcher_advice.cpp
@@ -201,11 +201,11 @@
     }
     ++m_advice.of(item.ref).open_questions;
     ++m_counters.questions;
-    note(now, "advice_asked", name_of(item.ref),
-         {{"workers", workers.size()},
-          {"need", item.step->count},
-          {"held", held_tasks(item.ref)},
-          {"share_good", m_advice.good_share(item.owner->queue)}});
+    log_event(now, "advice_asked", name_of(item.ref),
+              {{"workers", workers.size()},
+               {"need", item.step->count},
+               {"held", held_tasks(item.ref)},
+               {"share_good", m_advice.good_share(item.owner->queue)}});
     const milliseconds validity{item.queue->advice.validity_ms};
     m_hooks.advise(question, pressing,
                    [this, alive = m_alive, ref = item.ref, queue = item.owner->queue, workers,
@@ -243,11 +243,11 @@
             std::max<duration>(answer.took - milliseconds(answer.took_ms), duration{0});
         m_advice.take(ref, queue, workers, tickets, {now - answer.took, now - on_the_way}, validity);
     }
-    note(now, "advice_taken", name_of(ref),
-         {{"answered", answer.answered},
-          {"asked", workers.size()},
-          {"good", answer.good.size()},
-          {"took_ms", answer.took}});
+    log_event(now, "advice_taken", name_of(ref),
+              {{"answered", answer.answered},
+               {"asked", workers.size()},
+               {"good", answer.good.size()},
+               {"took_ms", answer.took}});
     m_gang_retry.erase(ref);
     m_waiting.erase(ref);
     m_full_due = std::min(m_full_due, now); // uses the tickets before they expire
--- a/src/dispatch/dispatcher_gang_room.cpp
+++ b/src/dispatch/dispatcher_gang_room.cpp
@@ -199,12 +199,12 @@
         out.promised = std::min(out.promised, before->second.promised); // others were backfilled until then
         return out;
     }
-    note(now, "gang_reserved", name_of(item.ref),
-         {{"tasks", out.total},
-          {"hosts", out.tasks.size()},
-          {"waited_ms", now - m_gang_since.at(item.ref)},
-          {"ready_ms", static_cast<std::int64_t>(found.ready_ms)},
-          {"missed", out.missed}});
+    log_event(now, "gang_reserved", name_of(item.ref),
+              {{"tasks", out.total},
+               {"hosts", out.tasks.size()},
+               {"waited_ms", now - m_gang_since.at(item.ref)},
+               {"ready_ms", static_cast<std::int64_t>(found.ready_ms)},
+               {"missed", out.missed}});
     return out;
 }
 
--- a/src/dispatch/dispatcher_gangs.cpp
+++ b/src/dispatch/dispatcher_gangs.cpp
@@ -277,13 +277,13 @@
     next.grew = next.total > had || before == m_holds.end() ? now : before->second.grew;
     if (had == 0)
     {
-        note(now, "room_held", name_of(item.ref),
-             {{"tasks", next.total},
-              {"of", item.step->count},
-              {"hosts", next.tasks.size()},
-              {"slack_ms", static_cast<std::int64_t>(item.slack_ms)},
-              {"missed", item.missed()},
-              {"holds", m_holds.size() + 1}});
+        log_event(now, "room_held", name_of(item.ref),
+                  {{"tasks", next.total},
+                   {"of", item.step->count},
+                   {"hosts", next.tasks.size()},
+                   {"slack_ms", static_cast<std::int64_t>(item.slack_ms)},
+                   {"missed", item.missed()},
+                   {"holds", m_holds.size() + 1}});
     }
     set_hold(item.ref, std::move(next));
 }
@@ -301,7 +301,7 @@
         if (stale && waits)
         {
             m_hold_after[ref] = now + m_settings.hold_lasts;
-            note(now, "room_given_up", name_of(ref), {{"tasks", hold.total}, {"of", step->count}});
+            log_event(now, "room_given_up", name_of(ref), {{"tasks", hold.total}, {"of", step->count}});
         }
         if (!waits || stale)
         {
--- a/src/dispatch/dispatcher_losses.cpp
+++ b/src/dispatch/dispatcher_losses.cpp
@@ -136,17 +136,17 @@
     {
         const run_view& known = view.runs.at(item.run);
         const suspicion* before = m_state.crashes().find(item.run.task);
-        note(now, "run_lost", name_of(item.run),
-             {{"worker", m_state.find(view.id)->facts.id},
-              {"began", item.began},
-              {"over", item.over},
-              {"inherited", known.inherited},
-              {"sent_before_last_word_ms", view.contact.heard() - known.sent},
-              {"ran_at_most_ms", known.settled ? lost_since(view, now) - *known.settled : duration{}},
-              {"expected_ms", expected_run_time(item.run)},
-              {"beside", lost.size() - 1},
-              {"blame", item.blame},
-              {"blame_before", before == nullptr ? 0 : before->blame}});
+        log_event(now, "run_lost", name_of(item.run),
+                  {{"worker", m_state.find(view.id)->facts.id},
+                   {"began", item.began},
+                   {"over", item.over},
+                   {"inherited", known.inherited},
+                   {"sent_before_last_word_ms", view.contact.heard() - known.sent},
+                   {"ran_at_most_ms", known.settled ? lost_since(view, now) - *known.settled : duration{}},
+                   {"expected_ms", expected_run_time(item.run)},
+                   {"beside", lost.size() - 1},
+                   {"blame", item.blame},
+                   {"blame_before", before == nullptr ? 0 : before->blame}});
     }
 }
 
@@ -158,12 +158,12 @@
     for (std::size_t i = kept.size() - std::min<std::size_t>(fresh, kept.size()); i < kept.size(); ++i)
     {
         ++m_counters.tasks_given_up;
-        note(now, "task_given_up", name_of(kept[i].task),
-             {{"reason", "poison task: it repeatedly crashed its workers"},
-              {"crashes", kept[i].against.crashes},
-              {"unclear", kept[i].against.unclear},
-              {"blame", kept[i].against.blame},
-              {"last_host", kept[i].last_host}});
+        log_event(now, "task_given_up", name_of(kept[i].task),
+                  {{"reason", "poison task: it repeatedly crashed its workers"},
+                   {"crashes", kept[i].against.crashes},
+                   {"unclear", kept[i].against.unclear},
+                   {"blame", kept[i].against.blame},
+                   {"last_host", kept[i].last_host}});
     }
     m_verdicts_noted = crashes.verdict_count();
 }
@@ -185,8 +185,9 @@
         m_suspects.note_loss(item.run.task, now);
     }
     const worker_life& worker = *m_state.find(view.id);
-    note(now, "worker_dropped", worker.facts.id,
-         {{"reason", reason}, {"unheard_ms", now - view.contact.heard()}, {"runs", worker.occupied.size()}});
+    log_event(
+        now, "worker_dropped", worker.facts.id,
+        {{"reason", reason}, {"unheard_ms", now - view.contact.heard()}, {"runs", worker.occupied.size()}});
     const auto again = [this, alive = m_alive, id = view.id](bool committed)
     {
         worker_view* later = *alive ? view_of(id) : nullptr;
--- a/src/dispatch/dispatcher_orders.cpp
+++ b/src/dispatch/dispatcher_orders.cpp
@@ -106,11 +106,11 @@
     }
     view.start_noted = true;
     const worker_life& worker = *m_state.find(view.id);
-    note(now, "start_before_report", name_of(run),
-         {{"worker", worker.facts.id},
-          {"leaving", worker.leaving},
-          {"sequence", worker.leaving_sequence},
-          {"led_for_ms", now - m_began}});
+    log_event(now, "start_before_report", name_of(run),
+              {{"worker", worker.facts.id},
+               {"leaving", worker.leaving},
+               {"sequence", worker.leaving_sequence},
+               {"led_for_ms", now - m_began}});
 }
 
 void dispatcher::take_start(worker_life_id worker, const run_ref& run, const order_answer& answer,
@@ -135,11 +135,11 @@
         known.progressed = now;
         return;
     }
-    note(now, "start_not_taken", name_of(run),
-         {{"worker", m_state.find(worker)->facts.id},
-          {"outcome", static_cast<int>(answer.outcome)},
-          {"tries", known.tries},
-          {"after_ms", now - known.sent}});
+    log_event(now, "start_not_taken", name_of(run),
+              {{"worker", m_state.find(worker)->facts.id},
+               {"outcome", static_cast<int>(answer.outcome)},
+               {"tries", known.tries},
+               {"after_ms", now - known.sent}});
     if (answer.outcome == order_outcome::unanswered)
     {
         ++m_counters.unanswered_orders;
@@ -202,7 +202,8 @@
 
 void dispatcher::end_run(worker_life_id worker, const run_ref& run, run_end how, monotonic_time now)
 {
-    note(now, "run_ended", name_of(run), {{"worker", m_state.find(worker)->facts.id}, {"how", name_of(how)}});
+    log_event(now, "run_ended", name_of(run),
+              {{"worker", m_state.find(worker)->facts.id}, {"how", name_of(how)}});
     record_ends command;
     command.worker = worker;
     command.ends.push_back({run, static_cast<std::uint8_t>(how), {}});
@@ -264,8 +265,8 @@
     }
     if (!known.stopping)
     {
-        note(now, "run_stopping", name_of(run),
-             {{"worker", m_state.find(view.id)->facts.id}, {"wanted", m_state.wants(run)}});
+        log_event(now, "run_stopping", name_of(run),
+                  {{"worker", m_state.find(view.id)->facts.id}, {"wanted", m_state.wants(run)}});
     }
     known.stopping = true;
     known.stop_in_flight = true;
@@ -401,10 +402,10 @@
             if (stuck)
             {
                 view.avoid_until = std::max(view.avoid_until, now + view.next_quarantine);
-                note(now, "worker_avoided", m_state.find(id)->facts.id,
-                     {{"reason", "run made no progress"},
-                      {"run", name_of(run)},
-                      {"unchanged_ms", now - known.progressed}});
+                log_event(now, "worker_avoided", m_state.find(id)->facts.id,
+                          {{"reason", "run made no progress"},
+                           {"run", name_of(run)},
+                           {"unchanged_ms", now - known.progressed}});
             }
             if (leaving || stuck)
             {
--- a/src/dispatch/dispatcher_preempt.cpp
+++ b/src/dispatch/dispatcher_preempt.cpp
@@ -97,10 +97,10 @@
     }
     for (const run_ref& run : victims)
     {
-        note(now, "run_preempted", name_of(run),
-             {{"for", name_of(item.ref)},
-              {"slack_ms", static_cast<std::int64_t>(item.slack_ms)},
-              {"percent", view.runs[run].percent}});
+        log_event(now, "run_preempted", name_of(run),
+                  {{"for", name_of(item.ref)},
+                   {"slack_ms", static_cast<std::int64_t>(item.slack_ms)},
+                   {"percent", view.runs[run].percent}});
         send_stop(view, run, now);
         ++m_counters.preemptions;
     }
--- a/src/dispatch/dispatcher_reports.cpp
+++ b/src/dispatch/dispatcher_reports.cpp
@@ -22,22 +22,23 @@
     {
         // The worker's capacity may have changed since: going back to an older one led to overcommitted
         // hosts.
-        note(now, "report_not_taken", report.facts.id,
-             {{"reason", "older than the last accepted report"}, {"sequence", report.sequence}});
+        log_event(now, "report_not_taken", report.facts.id,
+                  {{"reason", "older than the last accepted report"}, {"sequence", report.sequence}});
         done(true);
         return;
     }
     if (lacks_birth(report))
     {
-        note(now, "report_not_taken", report.facts.id,
-             {{"reason", "process start time missing"}, {"address", report.facts.address}});
+        log_event(now, "report_not_taken", report.facts.id,
+                  {{"reason", "process start time missing"}, {"address", report.facts.address}});
         done(false);
         return;
     }
     if (!names_known_pool(report))
     {
-        note(now, "report_not_taken", report.facts.id,
-             {{"reason", "unknown pool"}, {"pool", report.facts.pool}, {"address", report.facts.address}});
+        log_event(
+            now, "report_not_taken", report.facts.id,
+            {{"reason", "unknown pool"}, {"pool", report.facts.pool}, {"address", report.facts.address}});
         done(false); // the worker keeps reporting, so its pool may be configured later
         return;
     }
@@ -85,11 +86,11 @@
         if (report.draining != view.draining)
         {
             m_hooks.wake();
-            note(now, report.draining ? "worker_draining" : "worker_ready", report.facts.id,
-                 {{"from", "report"},
-                  {"sequence", report.sequence},
-                  {"remaining_ms", report.remaining_ms},
-                  {"runs", m_state.find(view.id)->occupied.size()}});
+            log_event(now, report.draining ? "worker_draining" : "worker_ready", report.facts.id,
+                      {{"from", "report"},
+                       {"sequence", report.sequence},
+                       {"remaining_ms", report.remaining_ms},
+                       {"runs", m_state.find(view.id)->occupied.size()}});
         }
         view.draining = report.draining;
         view.leaves_at = now + milliseconds(report.remaining_ms);
@@ -120,11 +121,11 @@
                         if (*alive)
                         {
                             const monotonic_time now = m_hooks.now();
-                            note(now, "leaving_recorded", life,
-                                 {{"leaving", leaving},
-                                  {"sequence", sequence},
-                                  {"committed", committed},
-                                  {"took_ms", now - proposed}});
+                            log_event(now, "leaving_recorded", life,
+                                      {{"leaving", leaving},
+                                       {"sequence", sequence},
+                                       {"committed", committed},
+                                       {"took_ms", now - proposed}});
                         }
                         done(committed);
                     });
@@ -158,13 +159,13 @@
                          return;
                      }
                      m_joining.erase(report.facts.host);
-                     note(m_hooks.now(), "report_not_taken", report.facts.id,
-                          {{"host", report.facts.host},
-                           {"address", report.facts.address},
-                           {"outcome", static_cast<int>(answer.outcome)},
-                           {"born", report.facts.born.value()},
-                           {"lives", answer.born.value()},
-                           {"present", still == nullptr ? std::string{} : still->facts.id}});
+                     log_event(m_hooks.now(), "report_not_taken", report.facts.id,
+                               {{"host", report.facts.host},
+                                {"address", report.facts.address},
+                                {"outcome", static_cast<int>(answer.outcome)},
+                                {"born", report.facts.born.value()},
+                                {"lives", answer.born.value()},
+                                {"present", still == nullptr ? std::string{} : still->facts.id}});
                      done(false);
                  });
 }
@@ -209,10 +210,10 @@
                             return;
                         }
                         const monotonic_time now = m_hooks.now();
-                        note(now, "worker_admitted", report.facts.id,
-                             {{"host", report.facts.host},
-                              {"hall", report.facts.hall},
-                              {"born", report.facts.born.value()}});
+                        log_event(now, "worker_admitted", report.facts.id,
+                                  {{"host", report.facts.host},
+                                   {"hall", report.facts.hall},
+                                   {"born", report.facts.born.value()}});
                         take_report(report, now, done);
                     });
 }
@@ -229,7 +230,7 @@
     {
         // A delayed notice of a former incarnation, or of one that never reported that it was leaving: the
         // next polls tell.
-        note(m_hooks.now(), "leave_not_taken", id, {{"born", known->facts.born.value()}});
+        log_event(m_hooks.now(), "leave_not_taken", id, {{"born", known->facts.born.value()}});
         done(true);
         return;
     }
@@ -238,7 +239,7 @@
                     {
                         if (*alive && committed)
                         {
-                            note(m_hooks.now(), "worker_left", id, {});
+                            log_event(m_hooks.now(), "worker_left", id, {});
                             m_hooks.wake();
                         }
                         done(committed);
--- a/src/dispatch/dispatcher_reserve.cpp
+++ b/src/dispatch/dispatcher_reserve.cpp
@@ -135,12 +135,12 @@
     learn_large_task(item);
     if (before == m_holds.end())
     {
-        note(now, "hosts_reserved", name_of(item.ref),
-             {{"hosts", next.total},
-              {"left", left},
-              {"others", others},
-              {"slack_ms", static_cast<std::int64_t>(item.slack_ms)},
-              {"wait_ms", static_cast<std::int64_t>(places.front().wait_ms)}});
+        log_event(now, "hosts_reserved", name_of(item.ref),
+                  {{"hosts", next.total},
+                   {"left", left},
+                   {"others", others},
+                   {"slack_ms", static_cast<std::int64_t>(item.slack_ms)},
+                   {"wait_ms", static_cast<std::int64_t>(places.front().wait_ms)}});
     }
     std::vector<worker_life_id> soon = hosts_soon_free(item, next, now);
     set_hold(item.ref, std::move(next));
--- a/src/dispatch/dispatcher_restarts.cpp
+++ b/src/dispatch/dispatcher_restarts.cpp
@@ -14,14 +14,14 @@
 {
     ++m_counters.restarted_workers;
     const worker_life& worker = *m_state.find(former.id);
-    note(now, "worker_started_again", worker.facts.id,
-         {{"from", from},
-          {"born", born.value()},
-          {"former", worker.facts.born.value()},
-          {"unheard_ms", now - former.contact.heard()},
-          {"ends_seen", worker.listed_up_to},
-          {"runs", worker.occupied.size()},
-          {"leaving", worker.leaving}});
+    log_event(now, "worker_started_again", worker.facts.id,
+              {{"from", from},
+               {"born", born.value()},
+               {"former", worker.facts.born.value()},
+               {"unheard_ms", now - former.contact.heard()},
+               {"ends_seen", worker.listed_up_to},
+               {"runs", worker.occupied.size()},
+               {"leaving", worker.leaving}});
 }
 
 // A new incarnation answers under the id of the known one. It is admitted with the known description of its
--- a/src/dispatch/dispatcher_sharing.cpp
+++ b/src/dispatch/dispatcher_sharing.cpp
@@ -93,11 +93,11 @@
         {
             continue;
         }
-        note(now, "run_paced", name_of(run),
-             {{"worker", m_state.find(view.id)->facts.id},
-              {"percent", view.filler_pace},
-              {"before", known.pace},
-              {"over_target", view.over_since.has_value()}});
+        log_event(now, "run_paced", name_of(run),
+                  {{"worker", m_state.find(view.id)->facts.id},
+                   {"percent", view.filler_pace},
+                   {"before", known.pace},
+                   {"over_target", view.over_since.has_value()}});
         known.pace_in_flight = true;
         const std::int32_t percent = view.filler_pace;
         m_hooks.pace(pace_task_order{address_of(view.id), run, percent},
--- a/src/dispatch/dispatcher_unheard.cpp
+++ b/src/dispatch/dispatcher_unheard.cpp
@@ -48,16 +48,16 @@
     }
     const worker_life& worker = *m_state.find(longest->id);
     const failed_calls& failed = longest->contact.failed();
-    note(now, "worker_unheard", worker.facts.id,
-         {{"unheard_ms", longest->contact.unheard_for(now)},
-          {"kept_as", name_of(why_kept(*longest, m_hearing, now, m_settings))},
-          {"runs", worker.occupied.size()},
-          {"run", name_of(worker.occupied.begin()->first)},
-          {"runs_on_unheard_workers", m_unheard_runs},
-          {"answered_this_leader", longest->answered},
-          {"not_sent", failed.not_sent},
-          {"unreachable", failed.unreachable},
-          {"unconfirmed", failed.unconfirmed}});
+    log_event(now, "worker_unheard", worker.facts.id,
+              {{"unheard_ms", longest->contact.unheard_for(now)},
+               {"kept_as", name_of(why_kept(*longest, m_hearing, now, m_settings))},
+               {"runs", worker.occupied.size()},
+               {"run", name_of(worker.occupied.begin()->first)},
+               {"runs_on_unheard_workers", m_unheard_runs},
+               {"answered_this_leader", longest->answered},
+               {"not_sent", failed.not_sent},
+               {"unreachable", failed.unreachable},
+               {"unconfirmed", failed.unconfirmed}});
 }
 
 } // namespace walkthread
--- a/src/dispatch/dispatcher_upkeep.cpp
+++ b/src/dispatch/dispatcher_upkeep.cpp
@@ -145,8 +145,8 @@
                 return;
             }
             m_upkeep_in_flight.erase(host);
-            note(m_hooks.now(), "upkeep_ordered", host,
-                 {{"wave", number}, {"outcome", static_cast<int>(answer.outcome)}});
+            log_event(m_hooks.now(), "upkeep_ordered", host,
+                      {{"wave", number}, {"outcome", static_cast<int>(answer.outcome)}});
             if (answer.outcome == order_outcome::accepted)
             {
                 m_upkeep_taken[host] = m_hooks.now();
@@ -187,7 +187,7 @@
         return;
     }
     m_upkeep_retry[host] = now + order_retry;
-    note(now, "upkeep_over", host, {{"wave", wave.wave}, {"worker", worker.facts.id}});
+    log_event(now, "upkeep_over", host, {{"wave", wave.wave}, {"worker", worker.facts.id}});
     m_hooks.propose(advance_upkeep{wave.wave, host, static_cast<std::uint8_t>(upkeep_phase::finished)},
                     [](bool /*committed*/) {}); // proposed again until the phase changes
 }
--- a/src/dispatch/dispatcher_workers.cpp
+++ b/src/dispatch/dispatcher_workers.cpp
@@ -241,11 +241,11 @@
         const bool stopped_before = known.stop_settled && *known.stop_settled < sent;
         if (known.inherited || settled_before || stopped_before)
         {
-            note(now, "run_absent", name_of(run),
-                 {{"worker", worker.facts.id},
-                  {"born", worker.facts.born.value()},
-                  {"inherited", known.inherited},
-                  {"restarted", known.carried}});
+            log_event(now, "run_absent", name_of(run),
+                      {{"worker", worker.facts.id},
+                       {"born", worker.facts.born.value()},
+                       {"inherited", known.inherited},
+                       {"restarted", known.carried}});
             command.ends.push_back({run, static_cast<std::uint8_t>(run_end::never_began), known.checkpoint});
             if (known.inherited)
             {
@@ -347,11 +347,11 @@
     const submission* owner = m_state.find(end.run.task.step.submission);
     const auto known = view.runs.find(end.run);
     const duration took = known == view.runs.end() ? duration{0} : now - known->second.sent;
-    note(now, "run_ended", name_of(end.run),
-         {{"worker", m_state.find(view.id)->facts.id},
-          {"how", name_of(end.how)},
-          {"took_ms", took},
-          {"number", end.number}});
+    log_event(now, "run_ended", name_of(end.run),
+              {{"worker", m_state.find(view.id)->facts.id},
+               {"how", name_of(end.how)},
+               {"took_ms", took},
+               {"number", end.number}});
     const step_spec* spec = m_state.find(end.run.task.step);
     if (spec == nullptr || known == view.runs.end())
     {
@@ -388,10 +388,10 @@
         if (++view.failures_in_row >= m_settings.quarantine_failures)
         {
             view.avoid_until = now + view.next_quarantine;
-            note(now, "worker_avoided", m_state.find(view.id)->facts.id,
-                 {{"reason", "consecutive failures"},
-                  {"failures", view.failures_in_row},
-                  {"for_ms", duration(view.next_quarantine)}});
+            log_event(now, "worker_avoided", m_state.find(view.id)->facts.id,
+                      {{"reason", "consecutive failures"},
+                       {"failures", view.failures_in_row},
+                       {"for_ms", duration(view.next_quarantine)}});
             view.next_quarantine = std::min(2 * view.next_quarantine, m_settings.quarantine_cap);
             view.failures_in_row = m_settings.quarantine_failures - 1;
         }
