--- a/tests/src/advisor_stand_in.hpp
+++ b/tests/src/advisor_stand_in.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// A stand-in of the placement advisor in virtual time, and of the processes that ask it.
+// Simulates the placement advisor and the advisor client processes that query it, in virtual time.
 
 #include <deque>
 #include <functional>
@@ -39,7 +39,7 @@
         monotonic_time since{};
     };
 
-    // Asks what waits, as far as processes that ask are free.
+    // Starts queued queries while advisor client processes are free.
     void ask_next()
     {
         while (!m_questions.empty() && (m_settings.askers == 0 || m_asking < m_settings.askers))
@@ -74,7 +74,7 @@
         asked.handler(answer);
     }
 
-    std::deque<waiting_question> m_questions; // that wait for a process that asks
+    std::deque<waiting_question> m_questions; // waiting for a free client process
     std::size_t m_asking = 0;
 };
 
--- a/tests/src/crash_day.hpp
+++ b/tests/src/crash_day.hpp
@@ -1,13 +1,13 @@
 #pragma once
 
-// A day on which some submissions crash each worker that starts their first task.
+// A scenario in which some submissions crash each worker that starts their first task.
 
 #include "small_pool.hpp"
 
 namespace walkthread::test
 {
 
-// Three crashes show what a task does. One or two starts more may be on their way until that is known.
+// A task fails as a poison task after three crashes. One or two more starts may be in flight until then.
 inline constexpr std::size_t most_starts = 5;
 
 struct crash_day
@@ -44,7 +44,7 @@
         for (const task_ref& task : poison)
         {
             BOOST_TEST(pool.starts_of(task) <= most_starts);
-            BOOST_TEST(pool.crashes_under(task) >= 2U); // one crash alone tells nothing
+            BOOST_TEST(pool.crashes_under(task) >= 2U); // a single crash is not enough evidence
             BOOST_TEST((pool.phase(task.step.submission) == submission_phase::failed));
         }
     }
--- a/tests/src/narrow_pool.hpp
+++ b/tests/src/narrow_pool.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// A pool whose leader has connections for looks at only so many workers at a time.
+// A pool whose leader has connections for polling only a limited number of workers at a time.
 
 #include <functional>
 #include <map>
@@ -13,7 +13,7 @@
 namespace walkthread::test
 {
 
-// Looks go over a bounded number of connections, each to one worker.
+// Sends polls over a bounded number of connections, each to one worker.
 class narrow_pool : public pool_stand_in
 {
   public:
--- a/tests/src/pool_stand_in.hpp
+++ b/tests/src/pool_stand_in.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// The real dispatcher and the real replicated state over stand-ins of workers, of the placement advisor and
-// of the replicated log, in virtual time.
+// Runs the real dispatcher and the real replicated state against simulated workers, a simulated placement
+// advisor and a simulated replicated log, in virtual time.
 
 #include <functional>
 #include <memory>
@@ -57,10 +57,10 @@
     }
 
     // -----------------------------------------------------------------------------------------------------
-    // Driving
+    // Control
     // -----------------------------------------------------------------------------------------------------
 
-    // A leader of a new term takes over; the old one, if any, is gone.
+    // Starts a leader with a new term; a previous leader is removed.
     void lead()
     {
         m_leader.reset();
@@ -85,7 +85,7 @@
         m_leader.reset();
         m_leads_since.reset();
     }
-    // Since when the same leader has been at work; nothing while there is none.
+    // When the present leader became able to act; empty while there is none.
     [[nodiscard]] virtual std::optional<monotonic_time> works_since() const
     {
         return m_leads_since;
@@ -94,7 +94,7 @@
     {
         deliver(write_report(life, draining, remaining_ms));
     }
-    // A report as the worker sends it; it may be delivered later, behind newer ones.
+    // Creates a report as the worker would send it. It may be delivered later, after newer ones.
     worker_report write_report(const std::string& life, bool draining, std::int64_t remaining_ms = 3000)
     {
         sim_worker& worker = m_workers[life];
@@ -121,7 +121,7 @@
                                   }
                               });
     }
-    // A worker says that it ends now; `then` is called when that is acknowledged.
+    // A worker announces that it is terminating now; `then` is called when that is acknowledged.
     void leave(const std::string& life, const std::function<void()>& then)
     {
         m_workers[life].gone = true;
@@ -154,13 +154,13 @@
             report(life, false);
         }
     }
-    // The worker has another room from now on; its next report says so.
+    // Changes the worker's capacity. Its next report contains the new value.
     void resize(const std::string& life, const resources& size)
     {
         m_workers[life].facts.size = size;
     }
-    // The worker's process dies; another life comes on the same host. It reports at once, unless that is left
-    // to the test.
+    // The worker process dies and another incarnation starts on the same host. The new one reports at once
+    // unless `reports` is false.
     void crash(const std::string& life, const std::string& next, bool reports = true)
     {
         const std::string host = m_workers[life].facts.host;
@@ -168,7 +168,7 @@
         m_workers[life].running.clear();
         add_worker(next, host, reports);
     }
-    // The worker goes for good. Its machine refuses connections from then on, or is silent.
+    // The worker terminates permanently. From then on its machine refuses connections or does not respond.
     void lose(const std::string& life, bool refuses)
     {
         sim_worker& worker = m_workers[life];
@@ -187,8 +187,9 @@
                });
         }
     }
-    // The worker's process dies, and starts again under its old id after a while: it knows nothing of before,
-    // and all that it counts begins anew. Its connections break, or fall silent as its machine lost power.
+    // The worker process dies and restarts after a while under the same id. It has lost all its state, and
+    // its counters start again. Its connections are refused, or time out if `silent` (its machine lost
+    // power).
     void restart(const std::string& life, duration down, bool silent = false, bool reports = true)
     {
         sim_worker& worker = m_workers[life];
@@ -215,7 +216,7 @@
                sim_worker& former = m_workers[life];
                if (former.look_number != number)
                {
-                   return; // it was struck again while it was down
+                   return; // restarted again while it was down
                }
                fresh.facts = former.facts;
                fresh.slowness = former.slowness;
@@ -278,12 +279,12 @@
     }
 
   protected:
-    // Whether the replicated log takes what this leader proposes now.
+    // Whether the replicated log accepts proposals of this leader now.
     [[nodiscard]] virtual bool takes_proposals() const
     {
         return true;
     }
-    // A look on its way to its worker.
+    // Delivers a poll to its worker.
     virtual void carry_look(const look_order& order, const std::function<void(const look_answer&)>& handler)
     {
         at(m_settings.way,
@@ -296,16 +297,16 @@
     {
         return m_term;
     }
-    // For how long the leader makes no pass yet.
+    // How long the leader remains unable to make a pass.
     [[nodiscard]] virtual duration frozen_for() const
     {
         return duration{0};
     }
-    // A look that waits for an end is given up then, where nothing breaks its connection.
+    // Time until a pending poll fails when its connection is not closed.
     static constexpr milliseconds silence{1700};
 
   private:
-    // A member of a gang was lost: the others end.
+    // Ends the other members of a gang after one member was lost.
     void break_gang(const run_ref& lost)
     {
         const step_spec* step = m_state.find(lost.task.step);
@@ -321,7 +322,7 @@
             }
         }
     }
-    // The worker's process ends; its connections break. Another life of it comes on the same host.
+    // The worker process ends and its connections break. Another incarnation starts on the same host later.
     void take_down_under_run(const std::string& life)
     {
         sim_worker& worker = m_workers[life];
@@ -352,7 +353,7 @@
                add_worker(life + "+", host);
            });
     }
-    // Workers report about every 1.5 s while somebody hears them.
+    // Workers report every 1.5 s while a leader receives their reports.
     void report_all()
     {
         for (auto& [life, worker] : m_workers)
@@ -368,7 +369,8 @@
                report_all();
            });
     }
-    // As the platform does: 200 also for an upkeep that was done, a refusal while the host is down for it.
+    // Answers like the platform: success also if maintenance is already complete, rejection while the host is
+    // down for it.
     order_outcome take_down(const std::string& host)
     {
         if (m_settings.upkeep == duration{0} || m_upkept.contains(host))
@@ -406,7 +408,7 @@
         m_pass_due = true;
         pass_at(m_now + milliseconds(2));
     }
-    // One pass at that time, unless a later call asks for an earlier one.
+    // Schedules one pass, unless a later call requests an earlier one.
     void pass_at(monotonic_time when)
     {
         at(when - m_now,
@@ -525,7 +527,7 @@
     std::uint64_t m_next_id = 1000;
     bool m_pass_due = false;
     std::size_t m_passes = 0;
-    std::size_t m_pass_number = 0; // of the pass that comes next
+    std::size_t m_pass_number = 0; // number of the next pass
     workload_result m_last_result;
 };
 
--- a/tests/src/small_pool.hpp
+++ b/tests/src/small_pool.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// What tests of the dispatcher share: a small pool, and a check that no invariant broke there.
+// Shared by the dispatcher tests: a small pool and a check of its invariants.
 
 #include <boost/test/unit_test.hpp>
 
@@ -11,14 +11,14 @@
 namespace walkthread::test
 {
 
-// How many seeds the random days take: few in CI, as many as asked for by hand.
+// Number of seeds for randomized scenarios: `usual` in CI, or as many as WALKTHREAD_SEEDS requests.
 inline std::uint64_t seed_count(std::uint64_t usual)
 {
     const char* asked = std::getenv("WALKTHREAD_SEEDS");
     return asked == nullptr ? usual : std::strtoull(asked, nullptr, 10);
 }
 
-// Of many short days: the same checks run at a tenth of the speed under sanitizers.
+// Variant for many short scenarios, which run ten times slower under sanitizers.
 inline std::uint64_t seed_count([[maybe_unused]] std::uint64_t usual,
                                 [[maybe_unused]] std::uint64_t sanitized)
 {
@@ -29,7 +29,7 @@
 #endif
 }
 
-// To play one seed again.
+// Start here to reproduce a single seed.
 inline std::uint64_t first_seed()
 {
     const char* asked = std::getenv("WALKTHREAD_FIRST_SEED");
--- a/tests/src/standstill_check.hpp
+++ b/tests/src/standstill_check.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// Accepted tasks whose turn has come and that stand still although there is room: looked for at every step of
-// virtual time, from what really runs on workers.
+// Detects accepted tasks that are ready to run but do not start although enough capacity is free. Checked at
+// fixed intervals of virtual time against the actual state of the workers.
 
 #include <boost/test/unit_test.hpp>
 
@@ -17,19 +17,20 @@
 namespace walkthread::test
 {
 
-// The longest that a task may stand still, part by part.
+// The longest time that a task may be stalled, by component.
 struct standstill_bounds
 {
-    milliseconds longest_lease{6000};  // a new leader has to assume that the worker got one just now
-    double clock_drift = 0.02;         // by which the worker's clock may run slower
-    milliseconds lost_look{1700};      // one under way, with its wait: behind it the worker is doubted
-    milliseconds drop_and_commit{300}; // a pass, the entry, and the pass behind it
-    milliseconds question{500};        // to the advisor, once more if hosts were taken meanwhile
-    milliseconds start{1000};          // the entry, and the order, which may be refused at a first host
-    milliseconds gang_gathers{4000};   // it holds room for so long before it gives up and asks again
-    milliseconds suspect_rests{8000};  // a task that was lost three times or more
+    milliseconds longest_lease{6000}; // a new leader must assume that the worker was granted a lease just now
+    double clock_drift = 0.02;        // by which the worker's clock may run slower
+    milliseconds lost_look{1700}; // a poll in flight, including its wait; afterwards the worker is suspected
+    milliseconds drop_and_commit{300}; // a pass, the log entry, and the next pass
+    milliseconds question{500};        // advisor query, repeated if hosts were taken meanwhile
+    milliseconds start{1000};          // the log entry and the order, which the first host may refuse
+    milliseconds gang_gathers{4000};   // how long a gang holds capacity before it releases it and asks again
+    milliseconds suspect_rests{8000};  // back-off for a task that was lost three times or more
     std::uint32_t losses_before_rest = 3;
-    int workers_in_a_row = 1; // that a task may be sent to as they become unreachable; a lease each
+    // How many workers a task may be sent to in succession while they become unresponsive; one lease each.
+    int workers_in_a_row = 1;
 
     [[nodiscard]] duration of_task(bool gang, bool suspect) const
     {
@@ -57,12 +58,12 @@
     standstill_check& operator=(const standstill_check&) = delete;
     ~standstill_check() = default;
 
-    // One line for each task that stood still for too long.
+    // One line for each task that was stalled for too long.
     [[nodiscard]] const std::vector<std::string>& found() const
     {
         return m_found;
     }
-    // The longest that any task has stood still with room free.
+    // The longest time that any task was stalled while capacity was free.
     [[nodiscard]] duration longest() const
     {
         return m_longest;
@@ -73,13 +74,15 @@
         {
             BOOST_TEST_MESSAGE(line); // shown with --log_level=message
         }
-        BOOST_TEST(m_found.empty(), m_found.size() << " tasks stood still");
+        BOOST_TEST(m_found.empty(), m_found.size() << " tasks were stalled");
     }
 
   private:
     static constexpr milliseconds between_looks{100};
-    static constexpr std::uint32_t room_needed = 2; // as many times as there are tasks that stand still
-    static constexpr double most_used = 0.5;        // of what workers that may take the step have
+    // Multiple of the capacity that the stalled tasks need.
+    static constexpr std::uint32_t room_needed = 2;
+    // Share of the capacity of the workers that may run the step.
+    static constexpr double most_used = 0.5;
 
     struct room
     {
@@ -91,7 +94,7 @@
     struct stand
     {
         monotonic_time since{};
-        std::size_t starts{}; // by then: a run may end between two looks
+        std::size_t starts{}; // at that time: a run may end between two samples
     };
 
     void look()
@@ -151,14 +154,16 @@
             {
                 m_found.push_back(name_of(task) +
                                   (spec.gang      ? " of a gang"
-                                   : spec.lasting ? " that lasts"
+                                   : spec.lasting ? " (long-running)"
                                                   : "") +
-                                  " stands still since " + time_of(since) + " at " + time_of(m_pool.now()));
+                                  " has been stalled since " + time_of(since) + " at " +
+                                  time_of(m_pool.now()));
             }
         }
     }
-    // Of the task; of a gang, how often all of it was started, or one that crashes workers crashed one: that
-    // start was lost through its own doing, also if another member found its host down.
+    // Number of starts of the task. For a gang: how often all its members were started, or how often it
+    // crashed a worker if it is a crashing gang. Such a start counts as lost by its own fault even if another
+    // member found its host down.
     [[nodiscard]] std::size_t starts_of(const step_spec& spec, const task_ref& task) const
     {
         std::size_t out = m_pool.starts_of(task);
@@ -181,7 +186,7 @@
                against->crashes + against->unclear + against->unproven >= m_bounds.losses_before_rest;
     }
 
-    // What runs on workers that are up, each within its lease.
+    // Collects the runs on workers that are up and within their lease.
     void find_runs()
     {
         m_runs.clear();
@@ -201,7 +206,7 @@
         const auto found = m_runs.lower_bound(run_ref{task, 0});
         return found != m_runs.end() && found->task == task;
     }
-    // All of a gang, unless one run has all of its members; else each task without a run.
+    // All tasks of a gang, unless one run has all its members; otherwise each task without a run.
     [[nodiscard]] std::vector<task_ref> standing(const step_spec& spec, const step_ref& step,
                                                  const step_progress& progress) const
     {
@@ -226,7 +231,7 @@
         return out;
     }
 
-    // Workers that may take the step have room for it twice over, and most of their room is free.
+    // Whether the workers that may run the step have twice the capacity it needs and are mostly free.
     [[nodiscard]] bool has_room(const submission& owner, const step_spec& spec,
                                 const std::vector<task_ref>& still) const
     {
--- a/tests/src/troubled_pool.hpp
+++ b/tests/src/troubled_pool.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// A pool whose leader is frozen, or cut off from workers, for a while.
+// A pool whose leader is frozen, or isolated from workers, for a while.
 
 #include <functional>
 #include <optional>
@@ -17,14 +17,14 @@
   public:
     using narrow_pool::narrow_pool;
 
-    // The leader's process stands still: it makes no pass and takes no answer and no report until then. Its
-    // calls that are under way go on.
+    // Freezes the leader's process: until then it makes no pass and handles no answer and no report. Calls in
+    // flight proceed.
     void freeze(duration span)
     {
         m_thaws = now() + span;
         m_frozen_term = term();
     }
-    // Neither calls to the worker nor what it sends arrive for so long; what runs there goes on.
+    // Drops calls to the worker and messages from it for this time; its runs continue.
     void cut_off(const std::string& life, duration span)
     {
         sim_worker& worker = m_workers[life];
@@ -87,7 +87,8 @@
     template <class Answer>
     using taker = std::function<void(Answer)>;
 
-    // Done at once, or as soon as the process that leads now goes on; never if it is replaced before.
+    // Runs the work at once, or as soon as the current leader's process resumes; never if the leader is
+    // replaced first.
     void when_thawed(const std::function<void()>& work)
     {
         const duration still = frozen_for();
--- a/tests/src/unit-acknowledged.cpp
+++ b/tests/src/unit-acknowledged.cpp
@@ -6,8 +6,8 @@
 using namespace walkthread;
 using namespace walkthread::test;
 
-// What one leader acknowledged holds under the next one, whatever only memory knew, and for orders that were
-// decided before.
+// What a leader has acknowledged must hold under the next leader, whatever was only in the first leader's
+// memory, and also for orders that were decided earlier.
 
 namespace
 {
@@ -19,8 +19,7 @@
     }
 }
 
-// The next leader hears no worker's report for three seconds, as those still go to the address of the last
-// one.
+// The next leader receives no worker reports, since they still go to the address of the previous leader.
 void change_leader_unheard(pool_stand_in& pool, std::size_t workers, duration without)
 {
     for (std::size_t i = 0; i < workers; ++i)
@@ -34,13 +33,13 @@
 } // namespace
 
 // ---------------------------------------------------------------------------------------------------------
-// Workers that leave
+// Leaving workers
 // ---------------------------------------------------------------------------------------------------------
 
-// A worker that had said that it leaves was cut off, so that its life was dropped as unheard. When the cut
-// ended, a report that it had sent before it decided to leave came first and admitted the life again, without
-// what had been acknowledged, and until its next report it got new work. A life that was only unheard comes
-// back with what it last said; leaves that were acknowledged 10.1 s earlier were started on in this test.
+// A worker that had announced it was leaving became unresponsive, and its incarnation was dropped. When it
+// was responsive again, a delayed report from before the announcement arrived first and readmitted it without
+// the leaving state, so it got new tasks until its next report. A readmitted incarnation must keep its
+// acknowledged leaving state.
 BOOST_AUTO_TEST_CASE(a_life_that_comes_back_still_leaves)
 {
     pool_stand_in pool(small(3));
@@ -61,9 +60,9 @@
     BOOST_TEST(pool.starts_on("w0") == 0U);
 }
 
-// An order got no answer, its worker then said that it leaves, and that was acknowledged. The order was sent
-// again all the same, as a retry asked whether the run is still wanted, not whether its worker still takes
-// work: 4 starts in this test. Such a run is stopped now and starts elsewhere.
+// A start order was unanswered when its worker announced that it was leaving, which was acknowledged. The
+// order was still retried, since a retry checked only whether the run was wanted, not whether its worker
+// accepts work. Such a run must be stopped and started elsewhere.
 BOOST_AUTO_TEST_CASE(an_order_is_not_sent_again_to_a_worker_that_leaves)
 {
     pool_stand_in pool(small(2));
@@ -80,7 +79,7 @@
     BOOST_TEST((pool.phase(id) == submission_phase::completed));
 }
 
-// The state machine itself takes no start on a worker that leaves, whoever planned it.
+// The state machine itself rejects a start on a leaving worker, whoever planned it.
 BOOST_AUTO_TEST_CASE(a_start_on_a_worker_that_leaves_is_not_recorded)
 {
     pool_stand_in pool(small(1));
@@ -95,7 +94,7 @@
     BOOST_TEST(life.occupied.empty());
 }
 
-// A worker that stays after all is used by the next leader too.
+// A worker that revoked its announcement to leave is used by the next leader too.
 BOOST_AUTO_TEST_CASE(a_worker_that_stays_after_all_is_used_by_the_next_leader)
 {
     pool_stand_in pool(small(1));
@@ -119,7 +118,7 @@
 }
 
 // ---------------------------------------------------------------------------------------------------------
-// The leader changes right after an acknowledgement, and nothing else happens
+// A leader change right after an acknowledgement, without other faults
 // ---------------------------------------------------------------------------------------------------------
 
 namespace
@@ -134,7 +133,8 @@
     upkeep,
 };
 
-// One calm day: load, one acknowledgement at a time drawn from the seed, the leader gone with it.
+// Runs one scenario without other faults: load, one acknowledgement at a time drawn from the seed, and the
+// loss of the leader right after it.
 void play_calm_day(acknowledged_kind kind, std::uint64_t seed)
 {
     pool_settings settings = small(6);
@@ -208,7 +208,7 @@
     BOOST_TEST_CONTEXT("kind " << static_cast<int>(kind) << " seed " << seed)
     {
         check_unbroken(pool);
-        BOOST_TEST((pool.longest_after_cancel() < without + milliseconds(600))); // 200 for a stop
+        BOOST_TEST((pool.longest_after_cancel() < without + milliseconds(600))); // 200 ms for a stop
         BOOST_TEST(pool.most_down() <= 1U);
         BOOST_TEST((kind != acknowledged_kind::upkeep || pool.state().waves().at(1).complete()));
         for (const submission_id id : all)
@@ -222,12 +222,10 @@
 }
 } // namespace
 
-// core-stgo-a-1 acknowledged that a worker leaves and went dark; core-rancagua-a-1 led next and started a
-// task there, over 2 s later. That the worker leaves was in the memory of the leader that had heard it, and
-// the worker's next report went to the dark address first. Settled by runs of that code with one loss of
-// power right behind acknowledgements: on 6 of 24 the next leader started work 3.2 to 4.2 s after an
-// acknowledgement ("acked by core-stgo-b-1 at 4.801 s", a start at 8.214 s), on none of 24 once the log says
-// who leaves. So the leader changes here right after each kind of acknowledgement, with calm around it.
+// A leader acknowledged that a worker was leaving and then failed. The next leader started a task there more
+// than 2 s later, since the state was only in the first leader's memory and the worker's next report went to
+// the failed leader's address first. Leaving workers are therefore recorded in the replicated log. The leader
+// changes here right after each kind of acknowledgement, without other faults.
 BOOST_AUTO_TEST_CASE(what_was_acknowledged_holds_under_the_next_leader)
 {
     for (const acknowledged_kind kind :
@@ -241,8 +239,8 @@
     }
 }
 
-// A worker had taken its leave back and said it again. The report in between came late, to a leader that knew
-// the first word alone: work was started on a worker that leaves.
+// A worker revoked its announcement to leave and then repeated it. The report in between arrived late, at a
+// leader that knew only the first announcement, and tasks were started on a leaving worker.
 BOOST_AUTO_TEST_CASE(an_older_report_does_not_take_back_a_leave_that_was_said_again)
 {
     pool_stand_in pool(small(2));
@@ -253,18 +251,18 @@
     const worker_report late = pool.write_report("w1", false, 60'000);
     pool.report("w1", true, 60'000);
     pool.run(milliseconds(100));
-    pool.faults("w1").unheard = true; // none of its later reports comes in time
+    pool.faults("w1").unheard = true; // none of its later reports arrives in time
     pool.lead();
     pool.run(milliseconds(500));
     pool.deliver(late);
-    pool.run(seconds(4)); // past the bound behind the acknowledgement
+    pool.run(seconds(4)); // beyond the drain bound after the acknowledgement
     load(pool, 8);
     pool.run(seconds(2));
     check_unbroken(pool);
 }
 
-// Workers that leave and stay by turns, cut off, silent and late, with reports that overtake each other and
-// leaders that change right after an acknowledgement.
+// Workers that announce and revoke leaving, are isolated, unresponsive or slow, with reordered reports and
+// leader changes right after an acknowledgement.
 BOOST_AUTO_TEST_CASE(random_days_start_nothing_on_workers_that_leave)
 {
     for (std::uint64_t seed = first_seed(); seed < first_seed() + seed_count(150); ++seed)
@@ -282,7 +280,7 @@
         pool.run(seconds(1));
         for (int step = 0; step < 120; ++step)
         {
-            const std::string life = "w" + std::to_string(1 + draw(5)); // one stays all the time
+            const std::string life = "w" + std::to_string(1 + draw(5)); // one worker never leaves
             switch (draw(9))
             {
             case 0:
@@ -336,14 +334,14 @@
 }
 
 // ---------------------------------------------------------------------------------------------------------
-// Upkeep
+// Maintenance
 // ---------------------------------------------------------------------------------------------------------
 
-// The platform took the order for a host's upkeep, and the leader was lost before it had recorded that. The
-// next one sent the order again and heard that it was done, behind the host's return, which it had not
-// connected with the wave: the wave stayed open for good, and with it the place of a host that is down (10 of
-// the first 1,815 seeds of the calm days above). A host that answers after its upkeep was taken is through
-// with it.
+// The platform accepted the order to take a host down for maintenance, and the leader was lost before it had
+// recorded that. The next leader repeated the order after the host's return and was told that it was done. It
+// did not associate the return with the wave, so the maintenance wave never completed and the host kept
+// occupying the slot of a host that is down. A host that answers after its maintenance was accepted counts as
+// finished.
 BOOST_AUTO_TEST_CASE(a_wave_ends_although_the_leader_is_lost_right_after_an_upkeep_began)
 {
     pool_settings settings = small(3);
@@ -364,8 +362,8 @@
     BOOST_TEST(pool.most_down() == 1U);
 }
 
-// A leader stopped one of two lasting tasks, of which one may be away, and handed over before the stop was
-// done. The next leader saw both at work and stopped the other one.
+// A leader stopped one of two long-running tasks, one of which may be down, and was replaced before the stop
+// completed. The next leader saw both tasks running and stopped the other one.
 BOOST_AUTO_TEST_CASE(a_stop_of_the_last_leader_counts_as_away)
 {
     pool_settings settings = small(2);
@@ -381,7 +379,7 @@
     BOOST_REQUIRE(pool.running_on("w0") == 1U);
     BOOST_REQUIRE(pool.running_on("w1") == 1U);
     pool.begin_upkeep({"h1"}, 60, 1, 2);
-    pool.run(milliseconds(60)); // the stop of one of them is sent
+    pool.run(milliseconds(60)); // the stop order for one of them is sent
     pool.begin_upkeep({"h0"}, 60, 1, 1);
     pool.lead();
     std::size_t least = 2;
@@ -395,14 +393,14 @@
 }
 
 // ---------------------------------------------------------------------------------------------------------
-// Cancelled work that begins late
+// Cancelled tasks that start late
 // ---------------------------------------------------------------------------------------------------------
 
 namespace
 {
-// Orders that get no answer and are carried out later, stops among them; the submissions are cancelled
-// meanwhile, and the leader that sent the orders may be gone. Gives the longest that a run was seen after its
-// cancel.
+// Start and stop orders are unanswered and carried out later; meanwhile the submissions are cancelled, and
+// the leader that sent the orders may be gone. Returns the longest time that a run existed after its
+// cancellation.
 duration cancel_late_starts(std::uint64_t seed, bool other_leader, double late_stops)
 {
     pool_settings settings = small(4);
@@ -447,7 +445,7 @@
 }
 } // namespace
 
-// A start that is carried out late, its submission cancelled by then, is seen with the next look and stopped.
+// A start that is carried out after its submission was cancelled is seen by the next poll and stopped.
 BOOST_AUTO_TEST_CASE(a_task_that_starts_late_after_its_cancel_is_stopped_at_once)
 {
     for (std::uint64_t seed = first_seed(); seed < first_seed() + seed_count(100); ++seed)
@@ -456,8 +454,8 @@
     }
 }
 
-// The same if the process that sent the order is removed before the cancel: its order is refused behind the
-// next leader's first look, or what it started is seen there.
+// The same if the leader that sent the order is removed before the cancellation: either its order is fenced
+// off after the next leader's first poll, or the run it started is seen by that poll.
 BOOST_AUTO_TEST_CASE(a_task_whose_starter_is_removed_is_stopped_after_its_cancel)
 {
     for (std::uint64_t seed = first_seed(); seed < first_seed() + seed_count(100); ++seed)
@@ -466,7 +464,7 @@
     }
 }
 
-// Stops may be late too: one of those that are sent again comes through.
+// Stops may be delayed too: one of the retries succeeds.
 BOOST_AUTO_TEST_CASE(late_stops_do_not_leave_cancelled_work_running)
 {
     for (std::uint64_t seed = first_seed(); seed < first_seed() + seed_count(50); ++seed)
--- a/tests/src/unit-crash-days.cpp
+++ b/tests/src/unit-crash-days.cpp
@@ -10,8 +10,9 @@
 using namespace walkthread;
 using namespace walkthread::test;
 
-// Random days: a share of the submissions is poison, in all queues, at two sizes of a pool. The restart takes
-// longer than the lease on some, so that a crash is only known after the task runs again.
+// Randomized scenarios: a share of the submissions are poison tasks that crash their workers, in all queues,
+// at two pool sizes. In some the restart takes longer than the lease, so that a crash is known only after the
+// task runs again.
 BOOST_AUTO_TEST_CASE(random_days_lose_no_ordinary_submission)
 {
     for (std::uint64_t seed = first_seed(); seed < first_seed() + seed_count(400, 20); ++seed)
--- a/tests/src/unit-crash-loops.cpp
+++ b/tests/src/unit-crash-loops.cpp
@@ -7,12 +7,11 @@
 using namespace walkthread;
 using namespace walkthread::test;
 
-// A pension utility's lookups came with tasks that crashed every worker they were started on. The end of a
-// run whose worker was lost counted for nothing, so such a task was started again some 3.3 s later, up to
-// run 38, until the day was over; each start took a worker away for three seconds, with all that ran there.
-// What settled it: run numbers rose one by one under the same leader, each run was gone 10 ms after it began,
-// and `worker_dropped` ("another life answers on its host") was followed by `starts_planned` of the same
-// task. So neither a change of leader nor an order that was carried out twice had a part in it.
+// Some tasks crash every worker they are started on. A run that ended because its worker was lost was not
+// counted as an attempt, so such a task was restarted about every 3.3 s without limit, and each start took
+// down a worker for three seconds together with its other runs. The cause was neither a leader change nor an
+// order carried out twice: run numbers increased one by one under the same leader, and each drop of a worker
+// whose host had a new incarnation was followed by a new start of the same task.
 
 BOOST_AUTO_TEST_CASE(a_task_that_crashes_its_workers_is_given_up)
 {
@@ -29,8 +28,9 @@
     day.check_ordinary_completed();
 }
 
-// A host whose process has ended refuses orders for seconds, and as nothing runs there it looks like the best
-// place: without doubt about it, a task waited there for 0.75 s until three orders had been refused.
+// A host whose worker process has ended refuses orders for seconds, and since nothing runs there it looks
+// like the best choice. Unless the worker is suspected at once, a task waits there for 0.75 s until three
+// orders are refused.
 BOOST_AUTO_TEST_CASE(work_goes_elsewhere_as_soon_as_a_worker_is_down)
 {
     crash_day day(4);
@@ -41,7 +41,7 @@
     BOOST_TEST((day.pool.phase(id) == submission_phase::completed));
 }
 
-// What is known of the task outlives each leader.
+// The crash evidence of a task survives leader changes.
 BOOST_AUTO_TEST_CASE(a_task_that_crashes_its_workers_is_given_up_whoever_leads)
 {
     crash_day day(12);
@@ -57,7 +57,7 @@
     day.check_ordinary_completed();
 }
 
-// The advisor allows each step only some hosts; the tickets for them do not last.
+// The advisor approves only some hosts for each step, and tickets for them expire.
 BOOST_AUTO_TEST_CASE(such_a_task_is_given_up_on_an_advised_queue_and_in_a_gang)
 {
     crash_day day(24);
@@ -75,7 +75,7 @@
     day.check_ordinary_completed();
 }
 
-// Its tasks were started one to a host, with a pause for each host that the advisor had named.
+// Such tasks were restarted one per host, with a delay for each host that the advisor had named.
 BOOST_AUTO_TEST_CASE(a_step_that_was_lost_with_its_host_starts_again_at_once)
 {
     const standstill_bounds bounds;
@@ -94,7 +94,7 @@
     BOOST_TEST(day.pool.state().crashes().suspects().size() == 10U);
 }
 
-// A leader that takes over just behind a crash took the run for one that may never have begun.
+// A leader that took over right after a crash assumed that the run might never have begun.
 BOOST_AUTO_TEST_CASE(the_next_leader_knows_what_had_just_begun_on_a_host_that_was_lost)
 {
     for (const bool twice : {false, true})
@@ -117,7 +117,8 @@
     }
 }
 
-// What was noted as it fell silent would blame what began long before the worker went.
+// Otherwise the state recorded when the worker became unresponsive would later blame a run that had begun
+// long before the worker was lost.
 BOOST_AUTO_TEST_CASE(what_was_known_of_a_worker_that_answers_again_is_forgotten)
 {
     crash_day day(1);
@@ -127,11 +128,11 @@
     BOOST_REQUIRE(worker.occupied.size() == 1U);
     const run_ref run = worker.occupied.begin()->first;
     day.pool.state().apply(0, note_last_word{worker.id, {{run, true, blame::sole, {}, false}}});
-    day.pool.run(milliseconds(1200)); // a look is held back for 1 s
+    day.pool.run(milliseconds(1200)); // a poll is held open for 1 s
     BOOST_TEST(day.pool.state().find_host("h0")->last_word.empty());
 }
 
-// Its end may not have been heard: estimates are far off at times.
+// Its end may have gone unreported, as run time estimates can be far off.
 BOOST_AUTO_TEST_CASE(a_run_that_may_have_been_over_counts_as_no_sure_crash)
 {
     crash_day day(1);
@@ -147,7 +148,7 @@
     BOOST_TEST(against->unclear == 1U);
 }
 
-// What lasts runs until it is cancelled, whatever becomes of its hosts.
+// A long-running task runs until it is cancelled, whatever happens to its hosts.
 BOOST_AUTO_TEST_CASE(a_lasting_task_is_not_given_up)
 {
     crash_day day(12);
--- a/tests/src/unit-cut-off-leaders.cpp
+++ b/tests/src/unit-cut-off-leaders.cpp
@@ -6,8 +6,8 @@
 using namespace walkthread;
 using namespace walkthread::test;
 
-// A leader that is itself cut off or starved gives up no worker that lives, and keeps no task on a worker
-// that it never told of it.
+// A leader that is itself isolated or starved of processor time must not drop live workers, and must not
+// leave a task assigned to a worker that never got its start order.
 
 namespace
 {
@@ -25,8 +25,8 @@
 }
 } // namespace
 
-// When a leader's links are back, its workers answer one after the other; the first one tells nothing of the
-// others.
+// When a leader's links recover, its workers answer one after the other; the first answer proves nothing
+// about the others.
 BOOST_AUTO_TEST_CASE(the_first_worker_that_answers_again_does_not_condemn_the_others)
 {
     for (int more = 0; more < 1000; more += 50)
@@ -35,17 +35,18 @@
         pool.lead();
         pool.run(seconds(1));
         std::vector<submission_id> all;
-        for (int i = 0; i < 8; ++i) // ends and so looks at different times
+        for (int i = 0; i < 8; ++i) // runs end, and polls return, at different times
         {
             all.push_back(pool.submit("plain", {make_step(1, 8000, 1300 + 170 * i)}));
             pool.run(milliseconds(90));
         }
-        pool.run(milliseconds(1200)); // some have ended, others end in the dark
+        pool.run(milliseconds(1200)); // some runs have ended, others end while their workers are unresponsive
         set_dark(pool, 4, true);
         pool.run(seconds(15) + milliseconds(more));
         set_dark(pool, 4, false);
         pool.run(seconds(8));
-        BOOST_TEST(pool.leader().counters().lost_workers == 0U, "dark for 15 s and " << more << " ms");
+        BOOST_TEST(pool.leader().counters().lost_workers == 0U,
+                   "unresponsive for 15 s and " << more << " ms");
         for (const submission_id id : all)
         {
             BOOST_TEST((pool.phase(id) == submission_phase::completed));
@@ -55,8 +56,8 @@
     }
 }
 
-// One connection that fails, as its first packet is lost, is no reason to give up a worker that is not asked
-// again for as long as its lease lasts.
+// One failed connection attempt (its first packet is lost) is no reason to drop a worker that is not polled
+// again for the duration of its lease.
 BOOST_AUTO_TEST_CASE(one_lost_connection_does_not_condemn_a_worker_that_is_not_asked_again)
 {
     pool_stand_in pool(small(2));
@@ -81,7 +82,8 @@
     check_unbroken(pool);
 }
 
-// An order that never left binds its task to nobody, however long its worker cannot be asked.
+// A start order that was not sent does not bind its task to the worker, however long that worker cannot be
+// polled.
 BOOST_AUTO_TEST_CASE(a_task_whose_orders_never_left_does_not_wait_for_a_worker_that_is_not_asked)
 {
     for (int delay = 0; delay <= 2400; delay += 100)
--- a/tests/src/unit-dispatch.cpp
+++ b/tests/src/unit-dispatch.cpp
@@ -37,7 +37,7 @@
     pool.lead();
     pool.run(seconds(1));
     const submission_id id = pool.submit("urgent", {make_step(2, 1400, 300)});
-    pool.run(milliseconds(60)); // 10 to keep it, 12 to ask, 10 to record, 1 on the way, 2 between passes
+    pool.run(milliseconds(60)); // 10 ms to accept, 12 to ask, 10 to record, 1 in transit, 2 between passes
     BOOST_TEST(pool.starts_of({{id, round_id{0}, 0}, 0}) == 1U);
 }
 
@@ -71,7 +71,7 @@
     pool.run(seconds(20));
     BOOST_TEST((pool.phase(id) == submission_phase::completed));
     BOOST_TEST(pool.leader().counters().lost_workers == 1U);
-    check_unbroken(pool); // among it: no two runs at once while the lease holds
+    check_unbroken(pool); // includes: no two runs at once while the lease holds
 }
 
 BOOST_AUTO_TEST_CASE(a_new_life_of_a_host_gives_its_work_back_at_once)
@@ -137,7 +137,7 @@
         pool.run(milliseconds(100));
     }
     pool.run(seconds(5));
-    BOOST_TEST(pool.starts_on("w0") <= 12U); // three in a row, then one now and then; a sixth would be ten
+    BOOST_TEST(pool.starts_on("w0") <= 12U); // three in a row, then a few; an even share is ten
 }
 
 BOOST_AUTO_TEST_CASE(a_submission_that_always_fails_ends_as_failed)
@@ -154,8 +154,8 @@
     BOOST_TEST(pool.starts_of({{single, round_id{0}, 0}, 0}) == 2U);
 }
 
-// cruzadas-prod quiet-1 --seed 645563983184: LOST. After three failed runs the workers left were too few for
-// the gang, and the question for more was never asked because the failed ones counted as within reach.
+// After three failed runs, too few workers were left for the gang. It never asked the advisor for more,
+// because the workers where it had failed still counted as available.
 BOOST_AUTO_TEST_CASE(a_gang_is_tried_again_where_it_failed_if_nothing_else_is_left)
 {
     pool_settings settings = small(4);
@@ -169,7 +169,7 @@
     BOOST_TEST((pool.phase(gang) == submission_phase::failed));
 }
 
-// akp-walk trouble-2: gangs waited up to 34 s while small tasks filled every host.
+// Gangs waited for up to 34 s while small tasks filled every host.
 BOOST_AUTO_TEST_CASE(gangs_get_hosts_under_a_load_of_small_tasks)
 {
     pool_settings settings = small(16);
@@ -198,7 +198,7 @@
     check_unbroken(pool);
 }
 
-// akp-walk trouble-1: in each pass stops were sent again for runs that had ended, 3,000 in 30 s.
+// Stops were repeated in each pass for runs that had already ended: 3,000 in 30 s.
 BOOST_AUTO_TEST_CASE(an_ended_run_of_a_cancelled_submission_is_not_stopped_again)
 {
     pool_stand_in pool(small(4));
@@ -217,8 +217,8 @@
     }
 }
 
-// cruzadas-prod trouble-3 --seed 1018952526392: TWICE. The channel sent a start again after a reset; the run
-// had ended meanwhile, the second answer was a refusal, and the run was taken for one that never began.
+// The channel resent a start after a connection reset. The run had ended meanwhile, so the second answer was
+// a rejection, and the run was wrongly treated as never started.
 BOOST_AUTO_TEST_CASE(a_start_that_was_sent_twice_is_not_taken_for_refused)
 {
     pool_stand_in pool(small(3));
@@ -278,8 +278,8 @@
     check_unbroken(pool);
 }
 
-// A task that fails while all other hosts of its step are at their limit goes to a host that has none yet:
-// questions named the hosts at their limit over and over.
+// A task that fails while all other hosts of its step are at their limit must go to a host that has none yet.
+// Previously the advisor was repeatedly queried about the hosts at their limit.
 BOOST_AUTO_TEST_CASE(a_lasting_task_comes_back_beside_a_limit_a_host)
 {
     pool_settings settings = small(20);
@@ -301,7 +301,8 @@
     check_unbroken(pool);
 }
 
-// Looks that get lost leave the leader without knowledge of a worker for 1.9 s each, and of what ended there.
+// A lost poll leaves the leader without information about a worker, and about runs that ended there, for 1.9
+// s.
 BOOST_AUTO_TEST_CASE(ends_are_seen_soon_although_looks_get_lost)
 {
     pool_stand_in pool(small());
@@ -326,12 +327,12 @@
                       });
     }
     BOOST_TEST(open.size() < 20U);
-    BOOST_TEST(late < 15U); // one in twenty; with long looks 77
+    BOOST_TEST(late < 15U); // one in twenty; 77 with long polls
     check_unbroken(pool);
 }
 
-// Everything at once, from seeds: late orders, refusals, dark and crashing workers, failing ones, changes of
-// leader.
+// Combined faults generated from seeds: delayed orders, refusals, unresponsive, crashing and failing workers,
+// and leader changes.
 namespace
 {
 void play_random_days(std::uint64_t first, std::uint64_t count, const mechanism_set& mechanisms)
@@ -341,7 +342,7 @@
         pool_settings settings = small(10);
         settings.seed = seed;
         settings.mechanisms = mechanisms;
-        settings.good_share = 0.85; // so that each gang has hosts enough that may run it
+        settings.good_share = 0.85; // so that enough hosts are approved for each gang
         pool_stand_in pool(settings);
         const standstill_check standing(pool);
         std::mt19937_64 random(seed * 977);
@@ -406,7 +407,7 @@
             case 15:
                 if (!former.empty())
                 {
-                    pool.report(former[draw(former.size())], false); // held back until now
+                    pool.report(former[draw(former.size())], false); // delayed until now
                 }
                 break;
             case 14:
@@ -452,7 +453,7 @@
     play_random_days(first_seed(), seed_count(60), {});
 }
 
-// Mechanisms are policies: whatever is off, nothing runs twice and everything ends.
+// Mechanisms are policies: with any of them off, no task runs twice and every submission ends.
 BOOST_AUTO_TEST_CASE(random_days_hold_with_any_mechanism_off)
 {
     mechanism_set none;
--- a/tests/src/unit-fleet-connections.cpp
+++ b/tests/src/unit-fleet-connections.cpp
@@ -8,12 +8,12 @@
 using namespace walkthread;
 using namespace walkthread::test;
 
-// Where there are more workers than connections, a look takes one away from another worker. Workers that
-// could not be asked for that are not given up, and those without work keep no connection.
+// With fewer connections than workers, a poll takes a connection away from another worker. Workers that are
+// not polled for that reason must not be dropped, and workers without tasks must not hold connections.
 
 namespace
 {
-// More workers than connections by the same share as at 3,000 of them, a third of which have work.
+// The same ratio of workers to connections as with 3,000 workers, a third of which have tasks.
 pool_settings crowded()
 {
     pool_settings settings = small(300);
@@ -30,7 +30,7 @@
     }
 }
 
-// Runs a task on one of two workers, which cannot be asked from then on for longer than any lease.
+// Runs a task on one of two workers, which then cannot be polled for longer than any lease.
 void leave_unasked(pool_stand_in& pool, const std::function<void()>& meanwhile)
 {
     pool.lead();
@@ -77,7 +77,7 @@
     const std::size_t before = pool.opened();
     hand_in(pool, all, 300); // 18 s
     const double opened_a_second = static_cast<double>(pool.opened() - before) / 18.0;
-    BOOST_TEST(opened_a_second < 0.2 * 300); // 600 at 3,000 workers; the processor bears that
+    BOOST_TEST(opened_a_second < 0.2 * 300); // 600 at 3,000 workers, which the processor can handle
     pool.run(seconds(6));
     for (const submission_id id : all)
     {
--- a/tests/src/unit-gangs.cpp
+++ b/tests/src/unit-gangs.cpp
@@ -36,7 +36,7 @@
     BOOST_TEST((judge_outlook(-2500, 1000, bounds) == outlook::worthless));
 }
 
-// cruzadas-prod-grown quiet-1: a third of the cores stood idle in hosts kept whole for gangs.
+// A third of the cores was idle on hosts held whole for gangs.
 BOOST_AUTO_TEST_CASE(gangs_fill_the_pool)
 {
     pool_stand_in pool(with_workers(24, 0.4));
@@ -47,13 +47,13 @@
     {
         gangs.push_back(pool.submit("gangs", {make_step(8, 4500, 2000, true)}));
     }
-    // 72 tasks at a time fit; 320 tasks of 2 s take 8.9 s if no room is ever idle.
+    // 72 tasks fit at a time; 320 tasks of 2 s take 8.9 s if no capacity is ever idle.
     pool.run(seconds(22));
     BOOST_TEST(count_done(pool, gangs) == gangs.size());
     BOOST_TEST(pool.broken().empty());
 }
 
-// The same day: urgent tasks took the very room that gangs held, which then asked for tickets ten times over.
+// Urgent tasks took the capacity held by gangs, which then requested tickets ten times over.
 BOOST_AUTO_TEST_CASE(gangs_start_beside_a_stream_of_urgent_tasks)
 {
     pool_stand_in pool(with_workers(24, 0.5));
@@ -73,12 +73,12 @@
     pool.run(seconds(8));
     BOOST_TEST(count_done(pool, gangs) == gangs.size());
     BOOST_TEST(count_done(pool, urgent) == urgent.size());
-    // Each gang learns of hosts, and asks for tickets about once: not a question for each pass.
+    // Each gang asks about hosts and for tickets about once, not in each pass.
     BOOST_TEST(pool.leader().counters().questions < urgent.size() * 3 + gangs.size() * 12);
     BOOST_TEST(pool.broken().empty());
 }
 
-// cruzadas-prod-grown trouble-1: behind 60 gangs that could not start, late tasks were never looked at.
+// Late tasks were never considered behind 60 gangs that could not start.
 BOOST_AUTO_TEST_CASE(late_tasks_start_behind_many_gangs_that_wait)
 {
     pool_stand_in pool(with_workers(8, 1.0));
@@ -97,8 +97,8 @@
     BOOST_TEST((pool.phase(late) == submission_phase::completed));
 }
 
-// akp-walk-grown trouble-3: LOST. Late gangs asked about hosts only while fewer than two others held room;
-// with many of them left at the end of the day most of the pool stood idle.
+// Late gangs asked about hosts only while fewer than two others held capacity. With many gangs left, most of
+// the pool was idle.
 BOOST_AUTO_TEST_CASE(late_gangs_start_soon_on_an_idle_pool)
 {
     pool_settings settings = with_workers(60, 0.3);
@@ -111,14 +111,14 @@
         gangs.push_back(pool.submit("gangs", {make_step(4, 4500, 300, true)}));
     }
     pool.run(milliseconds(100));
-    pool.unlead(); // until all are late, and what the advisor said is lost
+    pool.unlead(); // until all are late and the advice has been lost
     pool.run(seconds(10));
     pool.lead();
     pool.run(milliseconds(4500));
     BOOST_TEST(count_done(pool, gangs) == gangs.size());
 }
 
-// Once there is room for what waits, gang or not, it starts without another question to the advisor.
+// Once capacity is free for waiting tasks or a gang, they start without another advisor query.
 BOOST_AUTO_TEST_CASE(what_waits_keeps_its_tickets)
 {
     const auto time_to_start = [](const step_spec& step, bool kept)
@@ -146,7 +146,7 @@
         }
         return std::chrono::duration_cast<milliseconds>(pool.now() - free).count();
     };
-    const step_spec gang = make_step(8, 15000, 4000, true); // each of the two takes all hosts
+    const step_spec gang = make_step(8, 15000, 4000, true); // each of the two occupies all hosts
     const step_spec tasks = make_step(24, 5000, 4000);
     BOOST_TEST(time_to_start(gang, true) < 300);
     BOOST_TEST(time_to_start(gang, false) > 500);
@@ -154,7 +154,7 @@
     BOOST_TEST(time_to_start(tasks, false) > 500);
 }
 
-// Urgent work goes to fast hosts once speeds are known.
+// Urgent tasks go to fast hosts once host speeds are known.
 BOOST_AUTO_TEST_CASE(urgent_tasks_run_on_fast_hosts)
 {
     pool_settings settings = with_workers(24, 0.8);
@@ -162,7 +162,7 @@
     pool_stand_in pool(settings);
     pool.lead();
     pool.run(seconds(2));
-    for (int i = 0; i < 200; ++i) // teaches speeds: enough work that all hosts have some
+    for (int i = 0; i < 200; ++i) // learns speeds: enough tasks that every host has some
     {
         pool.submit("urgent", {make_step(4, 2500, 500)});
         pool.submit("batch", {make_step(6, 2500, 800)});
@@ -187,9 +187,8 @@
     BOOST_TEST(starts_on_slow() - before <= 6U); // of 120; a third of the hosts are slow
 }
 
-// Callers ask right after their last task has ended; what is known then is told once it is committed.
-// Tickets are taken to count from the answer on, until a worker refuses one; then nothing is lost but that
-// start.
+// Tickets are assumed to be valid from the answer on, until a worker rejects one; then only that start is
+// lost.
 BOOST_AUTO_TEST_CASE(tickets_that_count_from_the_question_are_learned)
 {
     for (const bool from_question : {false, true})
@@ -207,7 +206,7 @@
             pool.run(milliseconds(100));
         }
         pool.run(seconds(25));
-        BOOST_TEST_CONTEXT("from the question: " << from_question)
+        BOOST_TEST_CONTEXT("tickets valid from the query: " << from_question)
         {
             for (const submission_id id : gangs)
             {
@@ -216,11 +215,12 @@
             }
             BOOST_TEST(pool.broken().empty());
             const std::uint64_t refused = pool.leader().counters().refused_starts;
-            BOOST_TEST(refused <= (from_question ? 16U : 0U)); // those of two gangs that start at once
+            BOOST_TEST(refused <= (from_question ? 16U : 0U)); // the starts of two gangs that begin at once
         }
     }
 }
 
+// Callers read right after their last task has ended; the read is answered once that end is committed.
 BOOST_AUTO_TEST_CASE(a_read_behind_an_end_waits_for_its_commit)
 {
     pool_stand_in pool(with_workers(4, 1.0));
@@ -243,7 +243,7 @@
             return;
         }
     }
-    BOOST_FAIL("No read had to wait.");
+    BOOST_FAIL("no read had to wait for a commit");
 }
 
 BOOST_AUTO_TEST_CASE(reads_that_wait_are_answered_when_leadership_ends)
--- a/tests/src/unit-lives.cpp
+++ b/tests/src/unit-lives.cpp
@@ -8,11 +8,11 @@
 using namespace walkthread;
 using namespace walkthread::test;
 
-// Lives of workers whose reports come late: none is newer for having come later.
+// Reports of worker incarnations that arrive late: a later arrival does not make an incarnation newer.
 
 namespace
 {
-// Four tasks of 2.5 s, all on that host of two.
+// Fills one of two hosts with four tasks of 2.5 s.
 submission_id occupy(pool_stand_in& pool, const std::string& life)
 {
     pool.report("w1", true);
@@ -34,8 +34,8 @@
 }
 } // namespace
 
-// The leader first learns from the address itself that another life is there, then from that life, then hears
-// the one that is over.
+// The leader learns of the new incarnation first from the address itself and then from its report. After
+// that, a report of the former incarnation arrives.
 BOOST_AUTO_TEST_CASE(a_late_report_of_a_life_that_ended_unheard_changes_nothing)
 {
     pool_stand_in pool(small(2));
@@ -69,7 +69,7 @@
     check_started_once(pool, id);
 }
 
-// The first report of a life that is over comes only after the life behind it has work.
+// The first report of a former incarnation arrives only after its successor has tasks.
 BOOST_AUTO_TEST_CASE(a_first_report_that_comes_late_changes_nothing)
 {
     pool_stand_in pool(small(2));
@@ -84,7 +84,7 @@
     check_started_once(pool, id);
 }
 
-// A life whose address does not answer yet is not taken for the one that lives there.
+// An incarnation whose address does not answer yet must not replace the running one.
 BOOST_AUTO_TEST_CASE(a_life_that_does_not_answer_replaces_nobody)
 {
     pool_stand_in pool(small(2));
@@ -99,11 +99,11 @@
 }
 
 // ---------------------------------------------------------------------------------------------------------
-// Workers that leave
+// Leaving workers
 // ---------------------------------------------------------------------------------------------------------
 
-// A worker that had said to the last leader that it leaves got new tasks from the next one, until it reported
-// there too, 2.9 s after the change.
+// A worker that had announced to the previous leader that it was leaving got new tasks from the next leader
+// until it reported there too, 2.9 s after the change.
 BOOST_AUTO_TEST_CASE(a_worker_that_leaves_gets_nothing_new_from_the_next_leader)
 {
     pool_stand_in pool(small(3));
@@ -111,7 +111,7 @@
     pool.run(seconds(1));
     pool.report("w0", true, 60'000);
     pool.run(milliseconds(50));
-    pool.faults("w0").unheard = true; // the next leader has not heard it yet
+    pool.faults("w0").unheard = true; // the next leader has not received its report yet
     pool.lead();
     const std::size_t before = pool.starts_on("w0");
     for (int i = 0; i < 10; ++i)
@@ -123,7 +123,8 @@
     BOOST_TEST(pool.starts_on("w1") + pool.starts_on("w2") == 40U);
 }
 
-// That it leaves is acknowledged once the next leader would know it; an older report does not take it back.
+// That a worker is leaving is acknowledged only once the next leader would know it; an older report does not
+// revoke it.
 BOOST_AUTO_TEST_CASE(that_a_worker_leaves_is_replicated)
 {
     pool_stand_in pool(small(2));
@@ -143,10 +144,10 @@
 }
 
 // ---------------------------------------------------------------------------------------------------------
-// Rooms that change
+// Capacity changes
 // ---------------------------------------------------------------------------------------------------------
 
-// What runs there runs on; nothing new goes there until it fits.
+// Running tasks continue; no new task is started there until it fits.
 BOOST_AUTO_TEST_CASE(a_room_that_shrinks_takes_nothing_new_until_there_is_room_again)
 {
     pool_stand_in pool(small(2));
@@ -181,7 +182,7 @@
         pool.run(milliseconds(50));
         if (next_leader)
         {
-            pool.faults("w0").unheard = true; // the next leader hears the older report alone
+            pool.faults("w0").unheard = true; // the next leader receives only the older report
             pool.lead();
             pool.run(seconds(1));
         }
@@ -202,8 +203,8 @@
 
 namespace
 {
-// As the program wrote it before it knew births: worker "a" says that it leaves and runs a task, "b2" went
-// unheard with another one, "b" is over.
+// Written by a version without incarnation process start times: worker "a" is leaving and runs a task, "b2"
+// was dropped as unresponsive with another task, "b" is a former incarnation.
 constexpr std::string_view snapshot_without_births =
     "989501919ba171a76578616d706c65a32f712fcd0bb8000100a4706f6f6c02c2930000009193a4706f6f6cc2c200a091"
     "9b01a171a4706f6f6c0295a091dc00100294cd03e86400000090c2c2c2c2c2c2a0a000a0000001000001cd03e8009192"
@@ -241,7 +242,8 @@
     const auto former = static_cast<int>(workload_code::former_worker);
     BOOST_TEST(state.apply(0, admit_worker{facts_of("b", "host-b", 0), 1, false, {}}).code == former);
 
-    // A life with a birth is another one: what was told to run there may be there, all else is as new.
+    // An incarnation with a process start time is a different one: runs ordered there may still exist,
+    // everything else is reset.
     BOOST_TEST(state.apply(0, admit_worker{facts_of("a", "host-a", 77), 1, false, {}}).code == 0);
     const worker_life* next = state.find_id("a");
     BOOST_REQUIRE(next != nullptr);
--- a/tests/src/unit-lost-workers.cpp
+++ b/tests/src/unit-lost-workers.cpp
@@ -7,13 +7,13 @@
 using namespace walkthread;
 using namespace walkthread::test;
 
-// Workers that go for good about when the leader changes: the next leader never had a connection to them.
+// Workers that are permanently lost around a leader change: the next leader never had a connection to them.
 
 namespace
 {
-// Longer than any lease there may be, with a drop, its commit and a start elsewhere.
+// Longer than any possible lease plus a drop, its commit and a start elsewhere.
 constexpr seconds given_up_by{12};
-constexpr seconds run_time{4}; // of the tasks here, with a question and a start
+constexpr seconds run_time{4}; // of the tasks here, with a advisor query and a start
 
 std::vector<std::string> workers_with_runs(const pool_stand_in& pool, std::size_t workers)
 {
@@ -29,7 +29,7 @@
     return out;
 }
 
-// One of the workers that run something goes while nobody leads.
+// One of the workers with runs is lost while there is no leader.
 void lose_one_between_leaders(pool_stand_in& pool, std::size_t workers, bool refuses)
 {
     const std::vector<std::string> busy = workers_with_runs(pool, workers);
@@ -85,7 +85,8 @@
     play_gang(false);
 }
 
-// A leader that reaches no worker is cut off itself: their work may go on, and nobody else could take it.
+// A leader that reaches no worker is itself isolated: their runs may continue, and no other worker could take
+// over.
 BOOST_AUTO_TEST_CASE(a_leader_that_reaches_nobody_gives_up_nobody)
 {
     pool_stand_in pool(small(4));
@@ -112,7 +113,7 @@
     check_unbroken(pool);
 }
 
-// The lease of a worker that rejects each look is not renewed, so nothing runs there once it is over.
+// The lease of a worker that rejects each poll is not renewed, so nothing runs there once it has expired.
 BOOST_AUTO_TEST_CASE(a_worker_that_rejects_every_look_is_given_up)
 {
     pool_stand_in pool(small(8));
@@ -126,7 +127,7 @@
     check_unbroken(pool);
 }
 
-// An order whose connection is refused tells of the worker: nothing more is placed there until it is heard.
+// A refused connection indicates that the worker is down: no more tasks are placed there until it responds.
 BOOST_AUTO_TEST_CASE(a_refused_order_keeps_further_work_away)
 {
     pool_stand_in pool(small(8));
@@ -148,7 +149,7 @@
     check_unbroken(pool);
 }
 
-// A task waited for two looks, each held back for ends that did not come, as its start had got no answer.
+// A task whose start was unanswered waited for two polls, each held open for run ends that did not come.
 BOOST_AUTO_TEST_CASE(a_start_without_an_answer_is_settled_as_soon_as_its_worker_is_back)
 {
     const standstill_bounds bounds;
@@ -170,7 +171,7 @@
     }
     const std::string life = pool.state().find(pool.state().find(task)->worker)->facts.id;
     pool.faults(life).dark = true;
-    pool.run(milliseconds(2500)); // its ticket is over by then
+    pool.run(milliseconds(2500)); // its ticket has expired by then
     BOOST_TEST_REQUIRE(pool.starts_of(task) == 0U);
     pool.faults(life).dark = false;
     pool.run(bounds.drop_and_commit + bounds.question + bounds.start);
@@ -179,7 +180,8 @@
 
 namespace
 {
-// A task whose host fell silent is started again: where, and when. One worker may fall silent at a moment.
+// Where and when a task is started again after its host became unresponsive. One more worker may become
+// unresponsive at a given time.
 struct second_start
 {
     std::string life;
@@ -207,12 +209,13 @@
 }
 } // namespace
 
-// It was started on a host that had gone dark a second before, and waited for a second lease.
+// The task was restarted on a host that had become unresponsive a second before, and waited for a second
+// lease to expire.
 BOOST_AUTO_TEST_CASE(a_task_that_was_lost_goes_to_a_host_that_was_heard_just_now)
 {
     const second_start usual = play_second_start({}, {});
     const second_start with_silent =
-        play_second_start(usual.life, usual.at - milliseconds(1150)); // looks are held back for 1 s
+        play_second_start(usual.life, usual.at - milliseconds(1150)); // polls are held open for 1 s
     BOOST_TEST(with_silent.life != usual.life);
     BOOST_TEST((with_silent.at - usual.at < milliseconds(100)));
 }
--- a/tests/src/unit-never-back.cpp
+++ b/tests/src/unit-never-back.cpp
@@ -11,8 +11,8 @@
 using namespace walkthread;
 using namespace walkthread::test;
 
-// Workers that never come back, beside each kind of trouble of the leader: whatever they ran goes on
-// elsewhere in a bounded time.
+// Permanently lost workers combined with each kind of leader fault: their tasks must continue elsewhere
+// within a bounded time.
 
 namespace
 {
@@ -50,10 +50,10 @@
 
 constexpr std::size_t workers = 24;
 constexpr std::size_t rack_size = 8;
-constexpr std::size_t kept = 12;           // so many never go: all work has room there
-constexpr std::size_t few_connections = 9; // under half of the workers
+constexpr std::size_t kept = 12;           // so many always stay: all tasks fit there
+constexpr std::size_t few_connections = 9; // less than half of the workers
 constexpr int episodes = 3;
-constexpr seconds calm{20}; // behind each: above any bound
+constexpr seconds calm{20}; // after each episode; longer than any bound
 
 class day
 {
@@ -84,11 +84,12 @@
     {
         pool_settings out = small(workers);
         out.seed = seed;
-        out.good_share = 0.85; // so that each gang has hosts enough that may run it
+        out.good_share = 0.85; // so that enough hosts are approved for each gang
         out.look_connections = narrow ? few_connections : SIZE_MAX;
         return out;
     }
-    // Idle workers that are asked seldom may be cut off unseen: a task of a lost worker is sent to one.
+    // Idle workers are polled rarely and may be isolated unnoticed, so a task of a lost worker may be sent to
+    // one.
     static standstill_bounds bounds(bool narrow, leader_trouble trouble)
     {
         standstill_bounds out;
@@ -148,7 +149,7 @@
         }
     }
 
-    // What the leader meets and what the workers do come at about the same time, in either order.
+    // The leader fault and the loss of workers come at about the same time, in either order.
     void strike(leader_trouble trouble, way_to_go way)
     {
         const bool workers_first = draw(2) == 0;
@@ -307,7 +308,7 @@
             BOOST_TEST(running_of(id) == 3U, name_of(id) << " runs " << running_of(id) << " tasks");
         }
     }
-    // On workers that are up, whatever the state says.
+    // Counted on workers that are up, whatever the replicated state says.
     [[nodiscard]] std::size_t running_of(submission_id id) const
     {
         std::size_t out = 0;
@@ -331,9 +332,10 @@
     std::vector<std::string> m_leaving;
 };
 
-// Each seed is one pair of troubles; so many cover all of them once.
+// Each seed is one combination of faults; this many seeds cover all of them once.
 constexpr std::uint64_t pairs = leader_troubles * ways_to_go;
-// Beyond them, days on which a task stood still: a start without an answer, two in a row that were not taken.
+// Further seeds with which a task was stalled: an unanswered start, and two successive starts that were not
+// accepted.
 constexpr std::array<std::uint64_t, 4> found_seeds{70, 77, 111, 271};
 
 void play_day(load kind, bool narrow, std::uint64_t seed)
@@ -388,7 +390,7 @@
     play_days(load::advised_gangs);
 }
 
-// The leader has connections for looks at under half of its workers.
+// The leader has connections for polling less than half of its workers.
 BOOST_AUTO_TEST_CASE(work_goes_on_where_connections_are_fewer_than_workers)
 {
     play_days(load::single_tasks, true);
--- a/tests/src/unit-pending.cpp
+++ b/tests/src/unit-pending.cpp
@@ -6,7 +6,7 @@
 using namespace walkthread;
 using namespace walkthread::test;
 
-// How many submissions are told as waiting: those none of whose tasks has begun.
+// The number of pending submissions: those none of whose tasks has begun.
 
 namespace
 {
@@ -19,15 +19,15 @@
 }
 } // namespace
 
-// Two fifths of the workers were cut off. Work went to them for two seconds more, its starts were recorded,
-// and a submission with a recorded start counted as begun although its order had reached nobody: "1 jobs are
-// said to wait; 5 have waited since 5.383 s", on 8 of 12 plays. A submission counts as begun now once a
-// worker has said so.
+// Two fifths of the workers became unresponsive. Tasks were sent to them for two more seconds and their
+// starts recorded, and a submission with a recorded start counted as begun although its order had not been
+// delivered, so too few submissions were reported as pending. A submission counts as begun only once a worker
+// has confirmed it.
 BOOST_AUTO_TEST_CASE(submissions_whose_orders_reached_nobody_are_told_as_waiting)
 {
     pool_stand_in pool(small(4));
     pool.lead();
-    pool.run(milliseconds(1150)); // all have just answered a look
+    pool.run(milliseconds(1150)); // all have just answered a poll
     set_dark(pool, 4, true);
     for (int i = 0; i < 5; ++i)
     {
@@ -43,7 +43,7 @@
     BOOST_TEST(pool.leader().pending("plain") == 0U);
 }
 
-// The next leader finds that a start which the last one had recorded was never carried out.
+// The next leader finds that a start recorded by the previous leader was never carried out.
 BOOST_AUTO_TEST_CASE(a_start_that_the_last_leader_did_not_send_is_told_as_waiting)
 {
     pool_stand_in pool(small(1));
@@ -64,7 +64,7 @@
     BOOST_TEST(pool.leader().pending("plain") == 0U);
 }
 
-// What begins counts at once, and stays begun under the next leader, however it ends.
+// A confirmed start counts at once and still counts under the next leader, however the run ends.
 BOOST_AUTO_TEST_CASE(what_has_begun_is_not_told_as_waiting)
 {
     pool_stand_in pool(small(2));
--- a/tests/src/unit-quotas.cpp
+++ b/tests/src/unit-quotas.cpp
@@ -34,7 +34,7 @@
     check_unbroken(pool);
 }
 
-// Room that is kept for a gang which its organisation may not start would stand idle.
+// Capacity held for a gang that is blocked by its organisation's limit would be idle.
 BOOST_AUTO_TEST_CASE(a_gang_that_waits_for_its_organisation_keeps_no_room_from_others)
 {
     pool_stand_in pool(limited(2, eight_cores));
@@ -53,14 +53,14 @@
     check_unbroken(pool);
 }
 
-// Starts that the former leader sent and that nobody saw carried out count for the next one.
+// Starts sent by the previous leader whose execution nobody has seen count for the next leader.
 BOOST_AUTO_TEST_CASE(a_new_leader_counts_what_it_inherits)
 {
     pool_stand_in pool(limited(4, eight_cores));
     pool.lead();
     pool.run(seconds(1));
     pool.submit("plain", {make_step(30, 1000, 4000)}, "hens");
-    pool.run(milliseconds(15)); // recorded, the orders are on their way
+    pool.run(milliseconds(15)); // recorded, the orders are in transit
     pool.unlead();
     pool.run(milliseconds(500));
     pool.lead();
@@ -95,8 +95,8 @@
     check_unbroken(pool);
 }
 
-// Random days: two organisations, one of which hands in ten times as much, limits that move, workers that
-// answer late or fall silent, and a change of leader in one of 20 steps.
+// Randomized scenarios: two organisations, one of which submits ten times as much, changing limits, slow or
+// unresponsive workers, and a leader change in one of 20 steps.
 BOOST_AUTO_TEST_CASE(random_days_keep_limits_and_finish)
 {
     const std::uint64_t first = first_seed();
--- a/tests/src/unit-restarts.cpp
+++ b/tests/src/unit-restarts.cpp
@@ -8,12 +8,12 @@
 using namespace walkthread;
 using namespace walkthread::test;
 
-// Workers that start again under the id that they had. They know nothing of before, and all that they count
-// (reports, ends, their clock) begins anew.
+// Workers that restart under the same id. They have lost their state, and everything they count (reports,
+// ends, their clock) starts again.
 
 namespace
 {
-constexpr duration settled = seconds(1); // leaders, looks and reports have come to rest
+constexpr duration settled = seconds(1); // until leaders, polls and reports have reached a steady state
 constexpr std::uint32_t most_tasks = 8;  // of a submission here
 
 std::vector<submission_id> submit_many(pool_stand_in& pool, int count, std::int64_t run_ms)
@@ -35,7 +35,8 @@
     check_unbroken(pool);
 }
 
-// Whatever is not completed was given up, and two workers at least had crashed under a task of it.
+// A submission that is not completed must have failed because of a poison task, under which at least two
+// workers crashed.
 void check_outcomes(const pool_stand_in& pool, const std::vector<submission_id>& all)
 {
     for (const submission_id id : all)
@@ -64,12 +65,11 @@
 }
 } // namespace
 
-// Subscribers' verifications ran twice. Seventeen workers lost power for half a second and were back under
-// their old ids while looks at them still waited for an answer, so nobody doubted them and new tasks went
-// there. These were done within 0.2 s and were ends 1, 2 and 3 of the new life; the next look, meant for the
-// old life, said that its ends up to 10 had been seen, and the worker forgot them. `run_absent` with
-// `inherited: false` was followed by `starts_planned` of the same task, under one and the same leader, up to
-// run 6; the ends that were still listed carried on from 11.
+// Tasks ran twice after workers lost power for half a second and restarted under the same ids while polls to
+// them were pending, so that they were not suspected and got new tasks. These ended within 0.2 s as ends 1, 2
+// and 3 of the new incarnation. The next poll, meant for the former incarnation, acknowledged its ends up to
+// 10, and the worker discarded the new ones. The leader then considered the runs absent and started the tasks
+// again.
 BOOST_AUTO_TEST_CASE(ends_of_a_new_life_are_not_taken_for_seen)
 {
     pool_stand_in pool(small(2));
@@ -88,7 +88,7 @@
     BOOST_TEST(starts_of_all(pool, during) == 8U);
 }
 
-// What the old life ran is started again, once, soon after the new life is heard.
+// Runs of the former incarnation are started again, once, soon after the new one reports.
 BOOST_AUTO_TEST_CASE(what_a_worker_ran_before_its_restart_is_started_again_once)
 {
     for (const bool silent : {false, true})
@@ -101,15 +101,15 @@
         const std::size_t lost = pool.running_on("w0");
         BOOST_REQUIRE(lost > 0U);
         pool.restart("w0", milliseconds(300), silent);
-        pool.run(seconds(10)); // what was lost together is started apart
+        pool.run(seconds(10)); // tasks that were lost together are restarted one at a time
         check_completed(pool, all);
         BOOST_TEST(starts_of_all(pool, all) == 12U + lost);
     }
 }
 
-// A worker that left as it had said, and came back under its id, was refused for good: "this life of the
-// worker is over". After a release of all workers in turn nothing was left to run on, so work stood still
-// beside empty workers to the end of the day, and no line of the log said why.
+// A worker that had left as announced and came back under the same id was rejected permanently as a former
+// incarnation. After a rolling restart of all workers no usable worker was left, and nothing was logged about
+// it.
 BOOST_AUTO_TEST_CASE(a_worker_that_left_is_used_when_it_comes_back)
 {
     pool_stand_in pool(small(2));
@@ -128,8 +128,8 @@
     check_completed(pool, all);
 }
 
-// That a worker leaves is said by one life of it. It crashed before it left, and the next life was held for
-// leaving, as its reports count from 1 and looked older than the one that had said so.
+// Leaving is announced by one incarnation. After a crash before leaving, the next incarnation was still
+// treated as leaving, since its reports count from 1 and looked older than the announcement.
 BOOST_AUTO_TEST_CASE(a_worker_that_crashed_while_it_left_is_used_again)
 {
     for (const bool next_leader : {false, true})
@@ -152,8 +152,8 @@
     }
 }
 
-// A room and a kind belong to the life that reports them; what a new life says is not older for its lower
-// numbers.
+// Capacity and kind belong to the incarnation that reports them; lower sequence numbers do not make the
+// report of a new incarnation older.
 BOOST_AUTO_TEST_CASE(the_room_of_a_new_life_counts)
 {
     pool_stand_in pool(small(1));
@@ -170,7 +170,7 @@
     check_completed(pool, all);
 }
 
-// Two crashes show what a task does, also where its workers are back at once under their ids.
+// A poison task fails after two crashes, also if its workers restart at once under the same ids.
 BOOST_AUTO_TEST_CASE(a_task_that_crashes_its_workers_is_given_up_though_they_keep_their_ids)
 {
     for (const duration down : {milliseconds(300), milliseconds(3000), milliseconds(7000)})
@@ -196,8 +196,8 @@
     }
 }
 
-// A worker loses power behind a silent line, seconds after its tasks were done there: their ends were not
-// heard, and no crash was under them. Twice so, and they were given up as if they crashed their workers.
+// A worker loses power while unresponsive, seconds after its tasks were completed there: their ends were not
+// received, but no crash happened during the runs. After two such cases, the tasks failed as poison tasks.
 BOOST_AUTO_TEST_CASE(what_was_done_before_a_crash_is_not_to_blame)
 {
     pool_stand_in pool(small(2));
@@ -223,8 +223,8 @@
     check_completed(pool, {id});
 }
 
-// Orders that got no answer are carried out seconds later by the next life, which knows neither a fence nor a
-// run: what they would start runs elsewhere by then.
+// Unanswered orders are carried out seconds later by the next incarnation, which knows neither a fencing
+// token nor a run number. The tasks they would start run elsewhere by then.
 BOOST_AUTO_TEST_CASE(an_order_for_a_former_life_starts_nothing_beside_another_run)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
@@ -244,8 +244,8 @@
     }
 }
 
-// A word that comes late changes nothing: a report or a leave of the former life, behind the next one's first
-// report, or before it.
+// Late messages have no effect: a report or a leave of the former incarnation, before or after the next one's
+// first report.
 BOOST_AUTO_TEST_CASE(late_words_of_a_former_life_change_nothing)
 {
     pool_stand_in pool(small(2));
@@ -267,7 +267,7 @@
     BOOST_TEST(starts_of_all(pool, all) == 16U);
 }
 
-// A restart of which nobody led to hear, and one behind which the log was read from a snapshot.
+// A restart while there is no leader, also if the log is then restored from a snapshot.
 BOOST_AUTO_TEST_CASE(the_next_leader_knows_of_a_restart)
 {
     for (const bool snapshot : {false, true})
@@ -294,7 +294,8 @@
     }
 }
 
-// A list or a report without a birth, where the others have one, is of another writer.
+// A message without a process start time, where other workers have one, comes from a different
+// implementation.
 BOOST_AUTO_TEST_CASE(a_report_without_a_birth_is_not_taken_where_the_others_have_one)
 {
     pool_stand_in pool(small(2));
@@ -315,8 +316,8 @@
     BOOST_TEST(pool.state().workers().size() == 2U);
 }
 
-// A gang was given up after one crash under its tasks: its other members had ended with it, and their host,
-// which crashed before it had told so of each, was held against them.
+// A gang failed as a poison task after one crash: the other members had ended with it, but their host crashed
+// before it had reported all of these ends, and the crash was attributed to them.
 BOOST_AUTO_TEST_CASE(a_member_of_a_gang_that_broke_is_not_blamed_for_a_later_crash_of_its_host)
 {
     pool_settings settings = small(2);
@@ -333,7 +334,7 @@
     }
     BOOST_REQUIRE(broken.size() == 3U);
     pool.restart("w0", milliseconds(500));
-    pool.run(milliseconds(5)); // one of them is told as broken, and waits for its commit
+    pool.run(milliseconds(5)); // one of them is reported as broken, and waits for its commit
     pool.restart("w1", milliseconds(500));
     pool.run(milliseconds(700));
     for (const task_ref& task : broken)
@@ -344,8 +345,9 @@
     check_unbroken(pool);
 }
 
-// Two hosts are lost under one run of a gang: the members on the second one had ended with the first. They
-// counted as running there, and the gang was given up after one crash under each of its tasks.
+// Two hosts are lost during one run of a gang. The members on the second host had already ended when the
+// first was lost, but counted as running there, and the gang failed as a poison task after one crash per
+// task.
 BOOST_AUTO_TEST_CASE(a_member_that_broke_untold_is_not_blamed_for_a_later_crash_of_its_host)
 {
     pool_settings settings = small(2);
@@ -372,8 +374,8 @@
     check_completed(pool, {id});
 }
 
-// A part of a pool restarts at once under a steady load. What ran there is started again, and the workers
-// have work again within half a second of their first report; the platform forbids nothing of that.
+// Part of a pool restarts at once under a steady load. Lost tasks are restarted, and the workers get tasks
+// again within half a second of their first report; no limit of the platform prevents that.
 BOOST_AUTO_TEST_CASE(restarted_workers_have_work_again_soon_at_every_size)
 {
     constexpr duration soon = milliseconds(500);
@@ -421,8 +423,8 @@
     }
 }
 
-// Random days: shares of the workers restart under their ids, quickly and slowly, beside orders that are
-// carried out late, changes of leader, workers that leave and come back, gangs and plain work.
+// Randomized scenarios: a share of the workers restart under the same ids, quickly or slowly, combined with
+// delayed orders, leader changes, workers that leave and return, gangs and single tasks.
 BOOST_AUTO_TEST_CASE(random_days_with_restarts_run_nothing_twice_and_leave_nothing_idle)
 {
     for (std::uint64_t seed = first_seed(); seed < first_seed() + seed_count(200, 40); ++seed)
--- a/tests/src/unit-sharing.cpp
+++ b/tests/src/unit-sharing.cpp
@@ -32,7 +32,7 @@
     return step;
 }
 
-// The longest time that a tail stayed above the target on any of the workers.
+// The longest time that the tail latency stayed above the target on any of the workers.
 duration longest_over(pool_stand_in& pool, const std::vector<std::string>& lives, std::int64_t target_ms,
                       duration span)
 {
@@ -59,9 +59,9 @@
     pool.run(seconds(1));
     pool.submit("plain", {make_serving(2, 100)});
     pool.run(seconds(2));
-    pool.submit("plain", {make_filling(2)}); // a tail of 160 at full pace
+    pool.submit("plain", {make_filling(2)}); // a tail latency of 160 ms at full pace
     BOOST_TEST((longest_over(pool, {"w0", "w1"}, 100, seconds(20)) < milliseconds(2500)));
-    BOOST_TEST(pool.tail_on("w0") > 60); // they still work
+    BOOST_TEST(pool.tail_on("w0") > 60); // they still run
 }
 
 BOOST_AUTO_TEST_CASE(a_new_leader_keeps_fillers_slow)
@@ -94,7 +94,7 @@
     }
 }
 
-// A wave over all hosts of a step that may miss one task: they are emptied one after the other.
+// A wave over all hosts of a step that may miss one task: they are drained one after the other.
 BOOST_AUTO_TEST_CASE(upkeep_stops_no_lasting_task_while_another_is_away)
 {
     pool_stand_in pool(with_workers(4));
--- a/tests/src/unit-standstill.cpp
+++ b/tests/src/unit-standstill.cpp
@@ -9,8 +9,9 @@
 namespace
 {
 constexpr milliseconds step_of_time{20};
-constexpr milliseconds bound_with_room{3000}; // the platform's: under half is in use, room for twice the gang
-constexpr milliseconds bound_at_turn{40'000}; // the gang that waits for longest, however full the pool is
+// The platform's bounds.
+constexpr milliseconds bound_with_room{3000}; // under half in use, room for twice the gang
+constexpr milliseconds bound_at_turn{40'000}; // the gang that has waited longest, however full the pool is
 
 std::size_t seed_count(std::size_t usual)
 {
@@ -18,7 +19,7 @@
     return asked == nullptr ? usual : std::strtoul(asked, nullptr, 10);
 }
 
-// Watches at every step how long each gang stands still although it could run.
+// Measures at every step how long each gang is stalled although it could run.
 class watched_pool : public pool_stand_in
 {
   public:
@@ -55,7 +56,7 @@
     {
         return m_at_turn;
     }
-    // Tasks of a gang that fit on the hosts that may run it, now or with nothing running there.
+    // Number of tasks of a gang that fit on the hosts approved for it, now or with nothing running there.
     [[nodiscard]] std::uint32_t tasks_on_good_hosts(submission_id id, bool empty) const
     {
         const step_spec& spec = m_gangs.at(id).spec;
@@ -88,7 +89,7 @@
     {
         step_spec spec;
         monotonic_time with_room{}; // since when it could run
-        monotonic_time at_turn{};   // since when it is the first that could
+        monotonic_time at_turn{};   // since when it is the first gang that could
     };
 
     [[nodiscard]] resources used_on(const sim_worker& worker) const
@@ -117,7 +118,7 @@
         return known != nullptr && known->active == 0 &&
                m_state.ready().contains(step_ref{id, round_id{0}, 0});
     }
-    // Extends a stand-still, or ends it; returns how long it has lasted.
+    // Extends or ends a stall; returns how long it has lasted.
     [[nodiscard]] milliseconds extend(monotonic_time& since, bool stands) const
     {
         since = stands && since != monotonic_time{} ? since : now();
@@ -127,7 +128,7 @@
     {
         const bool roomy = share_in_use() < 0.5;
         bool first = true;
-        for (auto& [id, gang] : m_gangs) // in the order of their coming
+        for (auto& [id, gang] : m_gangs) // in the order of submission
         {
             const bool waiting = waits(id);
             const bool room = waiting && roomy && tasks_on_good_hosts(id, false) >= 2 * gang.spec.count;
@@ -154,7 +155,7 @@
     return settings;
 }
 
-// Small tasks that together ask for `load` times the pool, in one step of time.
+// Submits small tasks that together request `load` times the pool's capacity, for one time step.
 void submit_small_work(pool_stand_in& pool, std::mt19937_64& random, std::size_t workers, double load)
 {
     const auto pick = [&random](std::int64_t low, std::int64_t high)
@@ -185,7 +186,7 @@
 }
 } // namespace
 
-// LOST: gangs that could run stood still to the end of the day, behind small work and behind each other.
+// Gangs that could run stalled indefinitely behind small tasks and behind each other.
 BOOST_AUTO_TEST_CASE(no_gang_that_could_run_stands_still)
 {
     for (std::uint64_t seed = 1; seed <= seed_count(4); ++seed)
@@ -221,7 +222,7 @@
     }
 }
 
-// Small work took each gap as it came: no good host ever had room for a task of the gang.
+// Small tasks took each gap as it appeared, so no approved host ever had room for a task of the gang.
 BOOST_AUTO_TEST_CASE(a_gang_starts_beside_small_work_that_fills_every_gap)
 {
     constexpr std::size_t workers = 24;
@@ -233,14 +234,14 @@
         std::mt19937_64 random(seed);
         pool.lead();
         pool.run(seconds(2));
-        for (std::uint64_t other = 0; other < seed; ++other) // so that the gang's good hosts differ
+        for (std::uint64_t other = 0; other < seed; ++other) // so that the gang's approved hosts differ
         {
             pool.submit("plain", {make_step(1, 500, 100)});
         }
         pool.run(seconds(1));
         const submission_id gang = pool.submit_gang(make_step(4, 5850, 1000, true));
         pool.run(milliseconds(100));
-        pool.unlead(); // until it is late, and what the advisor said is lost
+        pool.unlead(); // until it is late and the advice has been lost
         pool.run(seconds(15));
         for (int tick = 0; tick < 20; ++tick)
         {
@@ -261,7 +262,8 @@
     }
 }
 
-// Four wide gangs that cannot finish gathering while long work runs took turns to hold all that was free.
+// Four wide gangs that cannot gather enough capacity while long tasks run took turns to hold all that was
+// free.
 BOOST_AUTO_TEST_CASE(a_small_gang_does_not_wait_for_gangs_that_cannot_gather_enough)
 {
     watched_pool pool(few_good_hosts(24, 1.0, 1));
@@ -281,7 +283,7 @@
     BOOST_TEST(pool.broken().empty());
 }
 
-// Late gangs asked about hosts only while most processes that ask were idle, which they never were.
+// Late gangs asked about hosts only while most advisor client processes were idle, which was never the case.
 BOOST_AUTO_TEST_CASE(a_late_gang_learns_of_hosts_while_others_keep_the_advisors_busy)
 {
     watched_pool pool(few_good_hosts(24, 0.5, 1));
@@ -289,7 +291,7 @@
     pool.run(seconds(2));
     const submission_id gang = pool.submit_gang(make_step(4, 5850, 500, true));
     pool.run(milliseconds(100));
-    pool.unlead(); // until it is late, and what the advisor said is lost
+    pool.unlead(); // until it is late and the advice has been lost
     pool.run(seconds(12));
     pool.lead();
     for (int tick = 0; tick < 80; ++tick)
@@ -303,12 +305,12 @@
     check(pool);
 }
 
-// Each of two gangs had a reservation on room that is there, and it was the same room: both stood still.
+// Each of two gangs had a reservation on the same free capacity, so both stalled.
 BOOST_AUTO_TEST_CASE(gangs_do_not_keep_the_same_free_room_from_each_other)
 {
     constexpr std::size_t workers = 12;
     pool_settings settings = few_good_hosts(workers, 1.0, 1);
-    settings.mechanisms.switch_off(mechanism::kept_tickets); // they ask once the room is there
+    settings.mechanisms.switch_off(mechanism::kept_tickets); // they ask once the capacity is there
     watched_pool pool(settings);
     pool.lead();
     pool.run(seconds(1));
@@ -318,7 +320,7 @@
     pool.run(seconds(1));
     const submission_id filler = pool.submit("plain", {make_step(6, 4000, 30'000)});
     pool.run(milliseconds(100));
-    pool.submit("gangs", {make_step(7, 15'000, 1000, true)}); // waits for the first, and its room with it
+    pool.submit("gangs", {make_step(7, 15'000, 1000, true)}); // waits for `busy`, and its capacity with it
     pool.run(milliseconds(500));
     const submission_id first = pool.submit("gangs", {make_step(8, 2000, 50'000, true)});
     const submission_id second = pool.submit("gangs", {make_step(8, 2000, 50'000, true)});
--- a/tests/src/unit-unsent.cpp
+++ b/tests/src/unit-unsent.cpp
@@ -6,12 +6,11 @@
 using namespace walkthread;
 using namespace walkthread::test;
 
-// What happened: a leader of 1,100 workers ran out of descriptors; orders that could not even be opened were
-// told as unanswered, as if a worker might have carried them out. Their runs were stopped after three tries,
-// members of gangs that had started waited alone for the others, and finished work was thrown away.
-// Why: one outcome stood for "no answer" and for "never left this process".
-// What settled it: an order that never left is an outcome of its own. It is sent again, counts for no try,
-// and if none of a run ever left, the task goes elsewhere at once.
+// With 1,100 workers the leader ran out of file descriptors. Orders for which no connection could be opened
+// were reported as unanswered, as if a worker might have carried them out: their runs were stopped after
+// three attempts, gang members that had started waited for the others, and completed work was discarded. An
+// order that was not sent is therefore an outcome of its own: it is sent again and does not count as an
+// attempt, and if no order of a run was sent, the task goes elsewhere at once.
 
 namespace
 {
@@ -80,9 +79,8 @@
     }
 }
 
-// One member of a gang could not be started, and the others waited for it for 3.7 s: `run_ended` with
-// `never_began` was followed by `stopped` only once they were seen to stand still, and a second such miss was
-// more than the caller would wait for.
+// One member of a gang could not be started, and the others waited for it for 3.7 s: they were stopped only
+// once they were seen to be stalled, and a second such failure exceeded the caller's timeout.
 BOOST_AUTO_TEST_CASE(a_gang_that_cannot_be_whole_is_stopped_at_once)
 {
     pool_settings settings = small(3);
--- a/tests/src/unit-waits.cpp
+++ b/tests/src/unit-waits.cpp
@@ -6,11 +6,11 @@
 using namespace walkthread;
 using namespace walkthread::test;
 
-// Waits for an answer or an event that may never come: each ends within a bound.
+// Every wait for an answer or an event that may never come ends within a bound.
 
 namespace
 {
-// One worker answers every look with the same refusal from some time on; its orders are not touched.
+// One worker answers every poll with the same refusal from some time on; orders are not affected.
 class refusing_pool final : public pool_stand_in
 {
   public:
@@ -41,7 +41,7 @@
     order_outcome m_outcome{};
 };
 
-// A leader whose proposals are refused for a while, as too many entries wait for a quorum.
+// A leader whose proposals are rejected for a while because too many entries wait for a quorum.
 class overloaded_pool final : public pool_stand_in
 {
   public:
@@ -63,10 +63,10 @@
 } // namespace
 
 // ---------------------------------------------------------------------------------------------------------
-// Looks
+// Polls
 // ---------------------------------------------------------------------------------------------------------
 
-// The lease ran out, the runs ended, and the leader took them for running as long as the refusals came.
+// The lease expired and the runs ended, but the leader considered them running as long as the refusals came.
 BOOST_AUTO_TEST_CASE(a_worker_that_refuses_every_look_is_given_up)
 {
     for (const order_outcome outcome : {order_outcome::unhealthy, order_outcome::rejected,
@@ -94,7 +94,8 @@
 // Proposals
 // ---------------------------------------------------------------------------------------------------------
 
-// That no order for the run ever left was proposed once; the refusal left the task running in the record.
+// That no order of the run was sent was proposed only once; after the rejection the replicated state kept the
+// task as running.
 BOOST_AUTO_TEST_CASE(a_task_whose_orders_never_left_goes_elsewhere_although_a_proposal_is_refused)
 {
     overloaded_pool pool(small(2));
@@ -112,7 +113,8 @@
     check_unbroken(pool);
 }
 
-// The worker withdrew between the plan and the commit; the end of the run that never began was refused.
+// The worker announced that it was leaving between the plan and the commit, and the proposal to end the run
+// that never began was rejected.
 BOOST_AUTO_TEST_CASE(a_start_that_is_withdrawn_ends_although_a_proposal_is_refused)
 {
     overloaded_pool pool(small(2));
@@ -134,8 +136,8 @@
     check_unbroken(pool);
 }
 
-// The worker refused the only order, and while the end of that run waited for a slow commit the order went
-// out again: the run began, and the task was started elsewhere beside it.
+// The worker refused the only order. While the end of that run waited for a slow commit, the order was sent
+// again: the run began, and the task was also started elsewhere.
 BOOST_AUTO_TEST_CASE(a_refused_order_is_not_sent_again_while_its_end_waits_for_the_commit)
 {
     for (std::uint64_t seed = 1; seed <= seed_count(20); ++seed)
@@ -160,10 +162,10 @@
 }
 
 // ---------------------------------------------------------------------------------------------------------
-// Upkeep
+// Maintenance
 // ---------------------------------------------------------------------------------------------------------
 
-// The host whose turn it was had died a moment before, and kept its place in the wave for good.
+// The host whose turn it was had just died and kept its slot in the wave permanently.
 BOOST_AUTO_TEST_CASE(a_wave_goes_on_behind_a_host_that_is_gone_for_good)
 {
     pool_settings settings = small(3);
@@ -171,7 +173,7 @@
     pool_stand_in pool(settings);
     pool.lead();
     pool.run(seconds(1));
-    pool.leave("w0", [] {}); // it never said before that it leaves
+    pool.leave("w0", [] {}); // it did not announce that it was leaving
     pool.begin_upkeep({"h0", "h1", "h2"}, 30, 1);
     pool.run(seconds(30));
     const auto& hosts = pool.state().waves().at(1).hosts;
@@ -180,8 +182,8 @@
     BOOST_TEST(pool.most_down() == 1U);
 }
 
-// While the record of one host's order waited for its commit, the host was not counted, and the next one was
-// ordered.
+// While the record of one host's order waited for its commit, the host was not counted, and the next host was
+// ordered down too.
 BOOST_AUTO_TEST_CASE(a_wave_keeps_to_its_limit_although_commits_are_slow)
 {
     for (const milliseconds commit : {milliseconds(60), milliseconds(120), milliseconds(400)})
@@ -200,8 +202,8 @@
     }
 }
 
-// Two of a wave are ordered where one may be down: a host that others were let pass, and one that is down
-// since before that is recorded. Commits are slow, so that this lasts.
+// Two hosts of a wave were ordered down where one may be down: a host that was skipped, and one that went
+// down before the skipping was recorded. Slow commits widen that window.
 namespace
 {
 void check_limit_of_a_wave(milliseconds returns_after, bool next_leader)
--- a/tests/src/unit-wave-turns.cpp
+++ b/tests/src/unit-wave-turns.cpp
@@ -19,8 +19,8 @@
 }
 } // namespace
 
-// One task of a lasting step can run nowhere, so the other may not be ended: the hosts without work waited
-// behind the one that has it.
+// One task of a long-running step can run nowhere, so the other must not be stopped: the hosts without tasks
+// waited behind the host that runs it.
 BOOST_AUTO_TEST_CASE(a_wave_goes_on_behind_a_host_that_it_may_not_empty)
 {
     pool_settings settings = small(3);
--- a/tests/src/worker_records.hpp
+++ b/tests/src/worker_records.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// What is known of stand-ins of workers: their runs, ends and leases, and what went wrong there.
+// State of simulated workers: their runs, ends and leases, and the invariant violations found there.
 
 #include <algorithm>
 #include <functional>
@@ -40,7 +40,7 @@
     {
         return m_broken;
     }
-    // Each organisation may have that much running from now on; nothing set changes nothing.
+    // Limits the resources that each organisation may use from now on; an empty limit changes nothing.
     void limit_organisations(const resources& limit)
     {
         if (limit == resources{})
@@ -59,7 +59,7 @@
         m_limit = limit;
         m_limited = m_now;
     }
-    // What really runs on workers that are up; with their lease over, all there is killed.
+    // Resources in use on workers that are up; everything on a worker is killed once its lease has expired.
     [[nodiscard]] resources running_of(const std::string& organisation) const
     {
         resources sum;
@@ -94,7 +94,7 @@
     {
         return tail_on(m_workers.at(life));
     }
-    // All lives that there ever were, as they really are.
+    // All incarnations that ever existed, with their actual state.
     [[nodiscard]] const auto& workers() const
     {
         return m_workers;
@@ -103,18 +103,18 @@
     {
         return m_state;
     }
-    // Whether what is listed there really runs.
+    // Whether the runs listed there really execute.
     [[nodiscard]] bool lease_holds_on(const std::string& life) const
     {
         return lease_holds(m_workers.at(life));
     }
-    // Until when an order for the task may be carried out that got no answer.
+    // Until when an unanswered order for the task may still be carried out.
     [[nodiscard]] monotonic_time may_come_until(const task_ref& task) const
     {
         const auto found = m_may_come.find(task);
         return found == m_may_come.end() ? monotonic_time{} : found->second;
     }
-    // The longest that a run was seen on a worker after its submission's cancel was committed.
+    // The longest time that a run existed on a worker after its submission's cancellation was committed.
     [[nodiscard]] duration longest_after_cancel() const
     {
         return m_longest_after_cancel;
@@ -123,9 +123,9 @@
     {
         return m_most_down;
     }
-    std::set<submission_id> always_fails;   // runs of these fail
-    std::set<submission_id> crash_a_worker; // the first task of each takes down the worker that starts it
-    // How many workers went down while the task ran there.
+    std::set<submission_id> always_fails;   // all their runs fail
+    std::set<submission_id> crash_a_worker; // the first task of each crashes the worker that starts it
+    // How many workers crashed while running the task.
     [[nodiscard]] std::size_t crashes_under(const task_ref& task) const
     {
         const auto found = m_crashes.find(task);
@@ -140,15 +140,16 @@
         std::int64_t length_ms{};
         monotonic_time began{};
         std::int32_t pace = 100;
-        bool whole{}; // of a gang all of whose members are present
+        bool whole{}; // all members of its gang are present
     };
     struct sim_worker
     {
         worker_facts facts;
         worker_faults faults;
-        duration clock_zero{}; // its clock began to count then
+        duration clock_zero{}; // when its clock started counting
         bool gone = false;
-        bool refuses = false; // connections to it are refused: its process has ended, its machine has not
+        // Connections to it are refused: its process has ended, its machine is up.
+        bool refuses = false;
         bool draining = false;
         double slowness = 1.0;
         std::uint64_t fence = 0;
@@ -156,7 +157,7 @@
         std::uint64_t next_end = 1;
         std::int64_t lease_until = 0;
         std::map<run_ref, sim_run> running;
-        std::map<task_ref, std::uint32_t> highest; // runs stopped or ended there
+        std::map<task_ref, std::uint32_t> highest; // highest run number that was stopped or ended there
         std::vector<listed_end> ended;
         std::map<std::uint64_t, monotonic_time> ended_at;
         monotonic_time lapsed_at{};
@@ -164,9 +165,9 @@
         std::uint64_t look_number = 0;
         std::size_t starts = 0;
         std::optional<monotonic_time> leaving_acknowledged;
-        std::uint64_t acknowledged_sequence = 0; // of the newest report that was acknowledged
+        std::uint64_t acknowledged_sequence = 0; // of the newest acknowledged report
     };
-    // New work stops half of the platform's shortest bound after the acknowledgement.
+    // Time after the acknowledgement beyond which no task may start: half of the platform's shortest bound.
     static constexpr milliseconds leaving_bound{1000};
 
     void note_acknowledged(const worker_report& report)
@@ -186,8 +187,8 @@
             worker.leaving_acknowledged = m_now;
         }
     }
-    // The platform's bound on what an organisation runs: a tenth over its limit, and one task more. A limit
-    // that was just lowered need not be known to every order on its way.
+    // The platform's bound on what an organisation runs: its limit plus a tenth plus one task. Orders in
+    // transit may not take a limit into account that was just lowered.
     void check_limit(const submission& owner, const step_spec& step, const run_ref& run)
     {
         const bool fresh = m_now - m_limited < limit_known;
@@ -195,7 +196,8 @@
         const std::int64_t uses = running_of(owner.organisation).cpu;
         if (!owner.organisation.empty() && limit > 0 && uses > limit + limit / 10 + step.size.cpu)
         {
-            m_broken.push_back("over the limit of " + owner.organisation + ": " + name_of(run));
+            m_broken.push_back("resources in use exceed the limit of organisation " + owner.organisation +
+                               ": " + name_of(run));
         }
     }
     workload_result commit(const workload_command& command)
@@ -211,7 +213,7 @@
         const duration up = m_now.time_since_epoch() - worker.clock_zero;
         return 5000 + std::chrono::duration_cast<milliseconds>(up).count();
     }
-    // A longer lease is cut to what the platform allows.
+    // A lease longer than the platform allows is truncated.
     void extend_lease(sim_worker& worker, std::int64_t until) const
     {
         worker.lease_until =
@@ -222,7 +224,8 @@
     {
         return worker.lease_until >= clock_of(worker);
     }
-    // The tail of serving tasks, in milliseconds: 60, and one for each percent at which a filler works.
+    // Simulated tail latency of serving tasks in milliseconds: 60, plus one for each percent of a filler's
+    // pace.
     [[nodiscard]] std::int64_t tail_on(const sim_worker& worker) const
     {
         std::int64_t tail = 60;
@@ -248,7 +251,7 @@
     pool_settings m_settings;
     std::mt19937_64 m_random;
     workload_state m_state;
-    // Workers and terms of leaders that have a connection to them.
+    // Workers, each with the terms of leaders that have a connection to it.
     std::set<std::pair<std::string, std::uint64_t>> m_connected;
     std::map<std::string, sim_worker> m_workers;
     std::map<std::pair<step_ref, std::string>, monotonic_time> m_tickets;
@@ -256,22 +259,22 @@
     resources m_limit{}; // of each organisation
     resources m_former_limit{};
     monotonic_time m_limited{};
-    std::set<task_ref> m_done;                              // some run of it ended so
-    std::set<task_ref> m_noted;                             // and the leader said that it knows
-    std::map<task_ref, std::set<std::string>> m_started_at; // lives that ever carried out an order for it
+    std::set<task_ref> m_done;                              // some run of it completed
+    std::set<task_ref> m_noted;                             // and the leader acknowledged that
+    std::map<task_ref, std::set<std::string>> m_started_at; // ids of the workers
     std::map<task_ref, monotonic_time> m_last_start;
-    std::map<task_ref, monotonic_time> m_may_come; // orders without an answer may be carried out until then
+    std::map<task_ref, monotonic_time> m_may_come; // unanswered orders may be carried out until then
     std::map<task_ref, std::size_t> m_starts;
-    std::map<task_ref, std::size_t> m_crashes; // workers that went down under it
+    std::map<task_ref, std::size_t> m_crashes; // workers that crashed while running it
     std::map<submission_id, monotonic_time> m_cancelled;
     duration m_longest_after_cancel{};
-    std::set<std::string> m_upkept;   // hosts whose upkeep began
+    std::set<std::string> m_upkept;   // hosts whose maintenance began
     std::set<std::string> m_down_now; // those of them that are down
     std::size_t m_most_down = 0;
     std::vector<std::string> m_broken;
 };
 
-// One step of `count` tasks.
+// Makes one step of `count` tasks.
 inline step_spec make_step(std::uint32_t count, std::int64_t cpu, std::int64_t run_ms, bool gang = false)
 {
     step_spec step;
--- a/tests/src/worker_stand_in.hpp
+++ b/tests/src/worker_stand_in.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// Stand-ins of workers in virtual time: room, leases, run numbers, fences, late and lost orders, as their
-// protocol tells. Invariants are checked at every start and end.
+// Simulates workers in virtual time according to their protocol: capacity, leases, run numbers, fencing
+// tokens, delayed and lost orders. Invariants are checked at every start and end.
 
 #include <walkthread/workload/names.hpp>
 
@@ -13,14 +13,14 @@
 class worker_stand_in : public worker_records
 {
   public:
-    // One run there fails.
+    // Makes one run there fail.
     void fail_one(const std::string& life)
     {
         sim_worker& worker = m_workers[life];
-        const run_ref run = worker.running.begin()->first; // a copy: the end erases it
+        const run_ref run = worker.running.begin()->first; // a copy: `end` erases the entry
         end(worker, run, run_end::failed);
     }
-    // Whether the advisor allows the step there.
+    // Whether the advisor approves the worker for the step.
     [[nodiscard]] bool is_good(const step_ref& step, const std::string& life) const
     {
         const std::size_t mixed = std::hash<std::string>{}(name_of(step) + m_workers.at(life).facts.host);
@@ -38,7 +38,7 @@
                handler(answer);
            });
     }
-    // The life that is meant does not answer: another one that lives at its address says so.
+    // The addressed incarnation does not answer: another one at its address identifies itself.
     void answer_for_other(const worker_address& to, duration patience,
                           const std::function<void(const order_answer&)>& handler)
     {
@@ -51,7 +51,8 @@
                                        });
         const auto meant = m_workers.find(to.id);
         const bool refused = meant != m_workers.end() && meant->second.refuses;
-        // On a connection that the leader still has, a call leaves; then there is none to that address.
+        // A call on an open connection is sent and gets no answer; afterwards there is no connection to that
+        // address.
         const bool connected = !refused && m_connected.contains({to.id, to.fence});
         m_connected.erase({to.id, to.fence});
         const order_outcome outcome = other       ? order_outcome::other_life
@@ -67,7 +68,7 @@
     }
     static constexpr milliseconds order_patience{600};
     static constexpr milliseconds connect_patience{700};
-    static constexpr milliseconds late_bound{12000}; // the platform's, for orders without an answer
+    static constexpr milliseconds late_bound{12000}; // the platform's bound for unanswered orders
 
     [[nodiscard]] double unsent_share(const std::string& life) const
     {
@@ -152,7 +153,7 @@
         const submission* owner = m_state.find(order.run.task.step.submission);
         if (m_state.find(order.run.task.step) == nullptr)
         {
-            m_broken.push_back("started though its submission was over: " + name_of(order.run));
+            m_broken.push_back("started after its submission ended: " + name_of(order.run));
             return order_outcome::rejected;
         }
         const queue_spec* queue = find_queue_by_name(*m_state.held_catalogue(), owner->queue);
@@ -165,7 +166,7 @@
             worker.leaving_acknowledged && m_now - *worker.leaving_acknowledged > leaving_bound;
         if (leaves && !late)
         {
-            m_broken.push_back("started on a worker that leaves: " + name_of(order.run) + " on " +
+            m_broken.push_back("started on a leaving worker: " + name_of(order.run) + " on " +
                                worker.facts.id);
         }
         begin(worker, order, *owner);
@@ -210,7 +211,8 @@
         }
     }
     std::function<void(const std::string& life)> m_take_down;
-    // A gang works from when all of one run are present, as its slowest member; then all end together.
+    // A gang starts to work when all members of one run are present, at the speed of its slowest member; then
+    // all end together.
     void begin_gang(const run_ref& run, const step_spec& step, std::int64_t length_ms)
     {
         std::vector<std::pair<std::string, run_ref>> members;
@@ -240,7 +242,7 @@
             }
         }
     }
-    // A member waits only so long for the others.
+    // A member waits only this long for the others.
     void end_if_alone(const std::string& life, const run_ref& run)
     {
         at(gang_patience,
@@ -289,7 +291,7 @@
         m_last_start[run.task] = m_now;
         if (m_noted.contains(run.task))
         {
-            m_broken.push_back("started after it was done: " + name_of(run));
+            m_broken.push_back("started after its completion was acknowledged: " + name_of(run));
         }
         resources used = room_of(step);
         for (const auto& [other, state] : worker.running)
@@ -299,7 +301,7 @@
         }
         if (!fits(used, worker.facts.size))
         {
-            m_broken.push_back("beyond the room: " + name_of(run) + " on " + worker.facts.id);
+            m_broken.push_back("capacity exceeded: " + name_of(run) + " on " + worker.facts.id);
         }
         for (const std::uint32_t earlier : step.after)
         {
@@ -307,7 +309,7 @@
             {
                 if (!m_done.contains(task_ref{{owner.id, run.task.step.round, earlier}, i}))
                 {
-                    m_broken.push_back("before its dependency: " + name_of(run));
+                    m_broken.push_back("started before its dependency completed: " + name_of(run));
                 }
             }
         }
@@ -428,7 +430,8 @@
         worker->fence = order.to.fence;
         m_connected.emplace(order.to.id, order.to.fence);
         lapse_if_over(*worker);
-        // Another life than the one that is meant gets a bare question.
+        // An incarnation other than the addressed one ignores the lease and the acknowledged ends of the
+        // poll.
         const bool meant = order.to.born == worker->facts.born;
         const std::uint64_t last_seen = meant ? order.last_seen : 0;
         extend_lease(*worker, meant ? order.until_ms.value_or(0) : 0);
@@ -457,7 +460,7 @@
                }
            });
     }
-    // An end counts once the leader says that it has it, unless the lease lapsed since.
+    // An end counts once the leader has acknowledged it, unless the lease has expired since.
     void take_note(const sim_worker& worker, const listed_end& item)
     {
         if (item.how != run_end::completed || !m_done.contains(item.run.task) ||
@@ -469,8 +472,8 @@
         if (m_last_start[item.run.task] > worker.ended_at.at(item.number))
         {
             m_broken.push_back(
-                "noted as done, and started since: " + name_of(item.run) + " on " + worker.facts.id +
-                ", ended at " +
+                "started again after its completion was acknowledged: " + name_of(item.run) + " on " +
+                worker.facts.id + ", ended at " +
                 std::to_string(worker.ended_at.at(item.number).time_since_epoch().count() / 1000) +
                 ", started at " +
                 std::to_string(m_last_start[item.run.task].time_since_epoch().count() / 1000) + ", now " +
@@ -515,7 +518,7 @@
         }
         auto handler = std::exchange(worker.waiting_look, nullptr);
         at(worker.faults.resets ? duration(milliseconds(300))
-                                : m_settings.way, // its other channel was reset too
+                                : m_settings.way, // its poll channel was reset too
            [handler, answer]
            {
                handler(answer);
