--- a/tests/src/standstill_check.hpp
+++ b/tests/src/standstill_check.hpp
@@ -88,7 +88,7 @@
     {
         std::uint64_t places{};
         resources used;
-        resources whole;
+        resources total;
     };
 
     struct stand
@@ -129,19 +129,19 @@
                                                              {
                                                                  return progress.steps[earlier].complete();
                                                              });
-            const std::vector<task_ref> still =
+            const std::vector<task_ref> stalled =
                 turn ? standing(spec, {owner.id, round, step}, progress.steps[step])
                      : std::vector<task_ref>{};
-            if (!still.empty() && has_room(owner, spec, still))
+            if (!stalled.empty() && has_room(owner, spec, stalled))
             {
-                note(spec, still, works_since, next);
+                note(spec, stalled, works_since, next);
             }
         }
     }
-    void note(const step_spec& spec, const std::vector<task_ref>& still, monotonic_time works_since,
+    void note(const step_spec& spec, const std::vector<task_ref>& stalled, monotonic_time works_since,
               std::map<task_ref, stand>& next)
     {
-        for (const task_ref& task : still)
+        for (const task_ref& task : stalled)
         {
             const std::size_t starts = starts_of(spec, task);
             const auto known = m_since.find(task);
@@ -233,9 +233,9 @@
 
     // Whether the workers that may run the step have twice the capacity it needs and are mostly free.
     [[nodiscard]] bool has_room(const submission& owner, const step_spec& spec,
-                                const std::vector<task_ref>& still) const
+                                const std::vector<task_ref>& stalled) const
     {
-        const step_ref step = still.front().step;
+        const step_ref step = stalled.front().step;
         const bool advised = m_pool.state().find_queue(owner.queue)->advised;
         room sum;
         for (const auto& [life, worker] : m_pool.workers())
@@ -245,7 +245,7 @@
                 add_room(worker, spec, step, sum);
             }
         }
-        return sum.places >= room_needed * still.size() && dominant_share(sum.used, sum.whole) < most_used;
+        return sum.places >= room_needed * stalled.size() && dominant_share(sum.used, sum.total) < most_used;
     }
     template <class Worker>
     [[nodiscard]] static bool takes_work(const Worker& worker)
@@ -280,7 +280,7 @@
         }
         sum.places += places;
         sum.used += used;
-        sum.whole += worker.facts.size;
+        sum.total += worker.facts.size;
     }
 
     pool_stand_in& m_pool;
--- a/tests/src/unit-acknowledged.cpp
+++ b/tests/src/unit-acknowledged.cpp
@@ -152,26 +152,26 @@
     pool.run(milliseconds(static_cast<std::int64_t>(20 + random() % 2500)));
     const std::string life = "w" + std::to_string(random() % 6);
     const duration without = milliseconds(static_cast<std::int64_t>(random() % 1500));
-    bool gone = false;
-    const auto change = [&pool, &gone, without]
+    bool acknowledged = false;
+    const auto change = [&pool, &acknowledged, without]
     {
-        gone = true;
+        acknowledged = true;
         change_leader_unheard(pool, 6, without);
     };
     switch (kind)
     {
     case acknowledged_kind::leaving:
         pool.deliver(pool.write_report(life, true, 60'000),
-                     [&gone]
+                     [&acknowledged]
                      {
-                         gone = true;
+                         acknowledged = true;
                      });
         break;
     case acknowledged_kind::left:
         pool.leave(life,
-                   [&gone]
+                   [&acknowledged]
                    {
-                       gone = true;
+                       acknowledged = true;
                    });
         break;
     case acknowledged_kind::cancelled:
@@ -189,7 +189,7 @@
         pool.run(milliseconds(static_cast<std::int64_t>(random() % 4000)));
         break;
     }
-    while (!gone && (kind == acknowledged_kind::leaving || kind == acknowledged_kind::left))
+    while (!acknowledged && (kind == acknowledged_kind::leaving || kind == acknowledged_kind::left))
     {
         pool.run(milliseconds(1));
     }
--- a/tests/src/unit-crash-days.cpp
+++ b/tests/src/unit-crash-days.cpp
@@ -26,7 +26,7 @@
             };
             const std::size_t hosts = draw(2) == 0 ? 48 : 24;
             crash_day day(hosts, seed, milliseconds(2000 + static_cast<std::int64_t>(draw(6)) * 1000));
-            const standstill_check standing(day.pool);
+            const standstill_check stalls(day.pool);
             const std::uint64_t percent = std::array{1, 5, 30}.at(seed % 3);
             for (int i = 0; i < 60; ++i)
             {
@@ -52,7 +52,7 @@
             day.pool.run(seconds(90));
             day.check_poison_given_up();
             day.check_ordinary_completed();
-            standing.check();
+            stalls.check();
         }
     }
 }
--- a/tests/src/unit-dispatch.cpp
+++ b/tests/src/unit-dispatch.cpp
@@ -344,7 +344,7 @@
         settings.mechanisms = mechanisms;
         settings.good_share = 0.85; // so that enough hosts are approved for each gang
         pool_stand_in pool(settings);
-        const standstill_check standing(pool);
+        const standstill_check stalls(pool);
         std::mt19937_64 random(seed * 977);
         const auto draw = [&random](std::uint64_t below)
         {
@@ -353,7 +353,7 @@
         pool.lead();
         pool.run(seconds(1));
         std::vector<submission_id> all;
-        int lives = 0;
+        int incarnation_count = 0;
         std::map<int, std::string> life;
         std::vector<std::string> former;
         for (int i = 0; i < 10; ++i)
@@ -376,7 +376,7 @@
                 break;
             case 3:
             {
-                const std::string next = "life" + std::to_string(++lives);
+                const std::string next = "life" + std::to_string(++incarnation_count);
                 pool.crash(life[w], next, draw(2) == 0);
                 former.push_back(life[w]);
                 life[w] = next;
@@ -436,7 +436,7 @@
         BOOST_TEST_CONTEXT("seed " << seed)
         {
             check_unbroken(pool);
-            standing.check();
+            stalls.check();
             for (const submission_id id : all)
             {
                 const submission* known = pool.state().find(id);
--- a/tests/src/unit-fleet-connections.cpp
+++ b/tests/src/unit-fleet-connections.cpp
@@ -70,7 +70,7 @@
 BOOST_AUTO_TEST_CASE(connections_fewer_than_workers_stay_with_those_that_have_work)
 {
     narrow_pool pool(crowded());
-    const standstill_check standing(pool);
+    const standstill_check stalls(pool);
     pool.lead();
     pool.run(seconds(4));
     std::vector<submission_id> all;
@@ -84,13 +84,13 @@
         BOOST_TEST((pool.phase(id) == submission_phase::completed));
     }
     check_unbroken(pool);
-    standing.check();
+    stalls.check();
 }
 
 BOOST_AUTO_TEST_CASE(ends_are_seen_as_soon_with_few_connections)
 {
     narrow_pool pool(crowded());
-    const standstill_check standing(pool);
+    const standstill_check stalls(pool);
     pool.lead();
     pool.run(seconds(4));
     std::vector<submission_id> all;
@@ -104,5 +104,5 @@
     }
     BOOST_TEST(late < 10U); // one in ten
     check_unbroken(pool);
-    standing.check();
+    stalls.check();
 }
--- a/tests/src/unit-never-back.cpp
+++ b/tests/src/unit-never-back.cpp
@@ -163,15 +163,15 @@
             go(way);
             m_pool.run(apart);
         }
-        begin(trouble);
+        begin_fault(trouble);
         if (!workers_first)
         {
             m_pool.run(apart);
             go(way);
         }
-        end(trouble);
+        end_fault(trouble);
     }
-    void begin(leader_trouble trouble)
+    void begin_fault(leader_trouble trouble)
     {
         switch (trouble)
         {
@@ -198,7 +198,7 @@
             return;
         }
     }
-    void end(leader_trouble trouble)
+    void end_fault(leader_trouble trouble)
     {
         switch (trouble)
         {
--- a/tests/src/unit-restarts.cpp
+++ b/tests/src/unit-restarts.cpp
@@ -181,8 +181,8 @@
         pool_stand_in pool(settings);
         pool.lead();
         pool.run(settled);
-        const submission_id poison = pool.submit("plain", {make_step(1, 1400, 1000)});
-        pool.crash_a_worker.insert(poison);
+        const submission_id crashing = pool.submit("plain", {make_step(1, 1400, 1000)});
+        pool.crash_a_worker.insert(crashing);
         std::vector<submission_id> ordinary;
         for (int i = 0; i < 30; ++i)
         {
@@ -190,8 +190,8 @@
             pool.run(seconds(1));
         }
         pool.run(seconds(30));
-        BOOST_TEST(pool.starts_of({{poison, round_id{0}, 0}, 0}) <= 5U);
-        BOOST_TEST(name_of(pool.phase(poison)) == "failed");
+        BOOST_TEST(pool.starts_of({{crashing, round_id{0}, 0}, 0}) <= 5U);
+        BOOST_TEST(name_of(pool.phase(crashing)) == "failed");
         check_completed(pool, ordinary);
     }
 }
--- a/tests/src/unit-sharing.cpp
+++ b/tests/src/unit-sharing.cpp
@@ -33,7 +33,7 @@
 }
 
 // The longest time that the tail latency stayed above the target on any of the workers.
-duration longest_over(pool_stand_in& pool, const std::vector<std::string>& lives, std::int64_t target_ms,
+duration longest_over(pool_stand_in& pool, const std::vector<std::string>& worker_ids, std::int64_t target_ms,
                       duration span)
 {
     constexpr milliseconds step{50};
@@ -42,7 +42,7 @@
     for (duration passed{0}; passed < span; passed += step)
     {
         pool.run(step);
-        for (const std::string& life : lives)
+        for (const std::string& life : worker_ids)
         {
             over[life] = pool.tail_on(life) > target_ms ? over[life] + step : duration{0};
             longest = std::max(longest, over[life]);
--- a/tests/src/unit-standstill.cpp
+++ b/tests/src/unit-standstill.cpp
@@ -75,13 +75,13 @@
     [[nodiscard]] double share_in_use() const
     {
         resources used;
-        resources whole;
+        resources total;
         for (const auto& [life, worker] : m_workers)
         {
             used += worker.gone ? resources{} : used_on(worker);
-            whole += worker.gone ? resources{} : worker.facts.size;
+            total += worker.gone ? resources{} : worker.facts.size;
         }
-        return dominant_share(used, whole);
+        return dominant_share(used, total);
     }
 
   private:
