--- a/include/walkthread/fabric/acceptors.hpp
+++ b/include/walkthread/fabric/acceptors.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Opens a listening socket, for the mesh and for HTTP.
+/// @brief Opens listening sockets for the mesh and the HTTP server.
 /// @since 0.2
 
 #include <chrono>
@@ -14,19 +14,19 @@
 namespace walkthread::detail
 {
 
-/// @brief After a connection could not be accepted, for want of descriptors above all: trying again at once
-/// would only take the processor until one comes free.
+/// @brief Delay before accepting again after a failed accept. The usual cause is a lack of descriptors, where
+/// an immediate retry would spin until one is released.
 inline constexpr std::chrono::milliseconds accept_pause{50};
 
 /// @brief Listens on `IP:PORT`.
-/// @return what failed, or empty
+/// @return an error message, or an empty string on success
 [[nodiscard]] inline std::string open_acceptor(boost::asio::ip::tcp::acceptor& acceptor,
                                                const std::string& address)
 {
     const auto endpoint = parse_endpoint(address);
     if (!endpoint)
     {
-        return address + " is no IP number and port";
+        return address + " is not an IPv4 address and port";
     }
     boost::system::error_code failed;
     acceptor.open(endpoint->protocol(), failed);
--- a/include/walkthread/fabric/addresses.hpp
+++ b/include/walkthread/fabric/addresses.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief IP numbers and ports as text and as endpoints.
+/// @brief Conversions between IPv4 addresses and ports as text, integers and endpoints.
 /// @since 0.2
 
 #include <charconv>
@@ -17,13 +17,14 @@
 namespace walkthread::detail
 {
 
-/// @brief The part before the colon.
+/// @brief The part of `IP:PORT` before the colon.
 [[nodiscard]] inline std::string ip_of(std::string_view address)
 {
     return std::string(address.substr(0, address.rfind(':')));
 }
 
-/// @brief Reads `IP:PORT`. @return no value for anything else
+/// @brief Parses `IP:PORT`.
+/// @return the endpoint, or no value if the text has another form
 [[nodiscard]] inline std::optional<boost::asio::ip::tcp::endpoint> parse_endpoint(std::string_view address)
 {
     const std::size_t colon = address.rfind(':');
@@ -43,7 +44,7 @@
     return boost::asio::ip::tcp::endpoint(ip, port);
 }
 
-/// @brief An IPv4 number as an integer, for identities; 0 if it is none.
+/// @brief An IPv4 address as an integer, as used in replica identities; 0 if the text is not an address.
 [[nodiscard]] inline std::uint32_t ip_number(std::string_view ip)
 {
     boost::system::error_code failed;
@@ -51,23 +52,23 @@
     return failed ? 0 : static_cast<std::uint32_t>(parsed.to_uint());
 }
 
-/// @brief An integer as an IPv4 number in text.
+/// @brief Formats an integer as an IPv4 address.
 [[nodiscard]] inline std::string ip_text(std::uint32_t number)
 {
     return boost::asio::ip::make_address_v4(number).to_string();
 }
 
-/// @brief The port of `IP:PORT`; 0 if it is none.
+/// @brief The port of `IP:PORT`; 0 if the text has another form.
 [[nodiscard]] inline std::uint16_t port_of(std::string_view address)
 {
     const auto endpoint = parse_endpoint(address);
     return endpoint ? endpoint->port() : std::uint16_t{0};
 }
 
-/// @brief Bits of an incarnation below the IP number that it carries.
+/// @brief Number of low bits of a replica incarnation; the IPv4 address is stored above them.
 inline constexpr unsigned address_bits = 32;
 
-/// @brief The IP number that a replica's identity carries.
+/// @brief The IPv4 address contained in a replica's identity.
 [[nodiscard]] inline std::uint64_t ip_part(const replica_id& id)
 {
     return id.incarnation.value() >> address_bits;
--- a/include/walkthread/fabric/advice_desk.hpp
+++ b/include/walkthread/fabric/advice_desk.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Spreads questions to the placement advisor over processes, each of which may ask one at a time.
+/// @brief Distributes advisor queries over client processes, each of which sends one query at a time.
 /// @since 0.2
 
 #include <deque>
@@ -15,21 +15,22 @@
 namespace walkthread
 {
 
-/// @brief Questions and the processes that may ask them. Pure: `ask` does the asking.
+/// @brief A queue of advisor queries and the client processes that can send them. Does no I/O itself: `ask`
+/// sends a query.
 /// @since 0.2
 class advice_desk
 {
   public:
     using answer_handler = std::function<void(const advice_answer&)>;
-    /// @param ask puts a question through one process; the answer may come at any time
+    /// @param ask sends a query through one client; the response may arrive at any time
     explicit advice_desk(
         std::function<void(const std::string& asker, const advice_question&, answer_handler)> ask);
 
-    /// @brief Tells that a process is there and may ask.
+    /// @brief Records that a process is alive and can query the advisor.
     void note_asker(const std::string& asker, monotonic_time now);
-    /// @brief Puts a question in its queue; urgent ones go first, unless another one has waited for long.
+    /// @brief Queues a query. Urgent queries go first unless a normal one has waited for too long.
     void put(const advice_question& question, bool urgent, answer_handler handler, monotonic_time now);
-    /// @brief Forgets all questions, when this process leads no longer.
+    /// @brief Discards all queries; called when this process loses leadership.
     void clear();
 
     [[nodiscard]] std::size_t waiting() const
@@ -44,7 +45,8 @@
     {
         return m_busy;
     }
-    /// @brief Whether many of the processes that may ask have nothing to ask. Complexity: linear in them.
+    /// @brief Whether a large part of the live clients has no query in flight. Complexity: linear in the
+    /// clients.
     [[nodiscard]] bool mostly_idle(monotonic_time now) const;
 
   private:
@@ -57,7 +59,7 @@
     struct asker_state
     {
         monotonic_time seen{};
-        monotonic_time avoid_until{}; ///< set by a failure, cleared by an answer
+        monotonic_time avoid_until{}; ///< set by a failure, cleared by a response
         bool busy{};
     };
 
@@ -76,7 +78,7 @@
     std::function<monotonic_time()> m_clock;
 
   public:
-    /// @brief How the desk learns the time when an answer comes.
+    /// @brief Sets the clock that gives the time of a response.
     void set_clock(std::function<monotonic_time()> clock)
     {
         m_clock = std::move(clock);
--- a/include/walkthread/fabric/call_router.hpp
+++ b/include/walkthread/fabric/call_router.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Carries calls to the leader, whoever that is, until they are answered or given up.
+/// @brief Routes calls to the current leader and retries them until they are answered or time out.
 /// @since 0.2
 
 #include <cstdint>
@@ -22,31 +22,31 @@
 namespace walkthread
 {
 
-/// @brief Takes the answer to a call.
+/// @brief Receives the reply to a call.
 using call_handler = std::function<void(service_reply)>;
 
-/// @brief Calls on their way to the leader. Belongs to the loop's thread.
+/// @brief Pending calls to the leader. To be used from the event loop's thread only.
 /// @since 0.2
 class call_router
 {
   public:
-    /// @param peers where calls go out
-    /// @param local handles a call if this process leads; says whether it did
+    /// @param peers the mesh that calls are sent over
+    /// @param local handles a call if this process leads; returns whether it did
     call_router(boost::asio::io_context& loop, mesh& peers,
                 std::function<bool(const service_call&, const call_handler&)> local);
     ~call_router();
     call_router(const call_router&) = delete;
     call_router& operator=(const call_router&) = delete;
 
-    /// @brief Sends a call to the leader, again after a change of leader or a silence. While no leader has
-    /// been known for a while, callers' calls that were not sent are answered `unavailable` at once.
-    /// @param patience after it the answer is `unknown`, or `unavailable` if it was never sent
+    /// @brief Sends a call to the leader, and again if the leader changes or does not reply. Once a leader
+    /// outage exceeds the hold time, calls from callers that were not sent yet get `unavailable` at once.
+    /// @param timeout after this time the reply is `unknown`, or `unavailable` if the call was never sent
     void call(service_call body, milliseconds patience, call_handler handler);
-    /// @brief Sends a call to one peer, once.
+    /// @brief Sends a call to one peer, without retries.
     void call_peer(const std::string& peer, service_call body, milliseconds patience, call_handler handler);
-    /// @brief Takes a reply that came in.
+    /// @brief Handles a received reply.
     void take_reply(reply_note note);
-    /// @brief Tells who leads now; empty for unknown. Waiting calls go there at once.
+    /// @brief Sets the current leader, empty for unknown. Pending calls are sent to it at once.
     void set_leader(const std::string& leader);
 
     [[nodiscard]] const std::string& leader() const
@@ -57,12 +57,12 @@
     {
         return m_calls.size();
     }
-    /// @brief How long there has been no leader; zero if there is one.
+    /// @brief How long no leader has been known; zero if one is known.
     [[nodiscard]] duration leaderless_for(monotonic_time now) const
     {
         return m_outage.age(now);
     }
-    /// @brief How long leaders were unknown, one observation an outage.
+    /// @brief Durations of leader outages, one observation for each outage.
     [[nodiscard]] const time_histograms& outages() const
     {
         return m_outages;
@@ -72,12 +72,12 @@
     struct waiting_call
     {
         service_call body;
-        std::string encoded; ///< made when it first travels
+        std::string encoded; ///< filled when the call is first sent to a peer
         call_handler handler;
         monotonic_time give_up{};
         monotonic_time sent{};
         bool ever_sent{};
-        bool of_caller{}; ///< given up, if it was not sent, once an outage is hopeless
+        bool of_caller{}; ///< rejected, if it was not sent, once an outage exceeds the hold time
         bool to_leader{};
     };
 
@@ -94,8 +94,7 @@
     bool m_armed = false;
     std::string m_leader;
     leader_outage m_outage;
-    time_histograms m_outages{
-        "walkthread_leaderless_seconds", "How long no leader was known, by outage.", {}};
+    time_histograms m_outages{"walkthread_leaderless_seconds", "Duration of leader outages.", {}};
     std::minstd_rand m_random{std::random_device{}()};
     std::uint64_t m_next = 1;
     std::map<std::uint64_t, waiting_call> m_calls;
--- a/include/walkthread/fabric/connection_pool.hpp
+++ b/include/walkthread/fabric/connection_pool.hpp
@@ -1,9 +1,9 @@
 #pragma once
 
 /// @file
-/// @brief Who gets one of a bounded number of connections, and who gives one up.
+/// @brief Assigns a bounded number of connections to calls.
 ///
-/// Pure: the owner opens, uses and closes what is decided here.
+/// Does no I/O: the owner opens, uses and closes connections as decided here.
 /// @since 0.3
 
 #include <cstdint>
@@ -22,44 +22,45 @@
 namespace walkthread
 {
 
-/// @brief One connection of a pool, for its life.
+/// @brief Identifies a connection of a pool; never reused.
 using pooled_id = strong<struct pooled_tag, std::uint64_t>;
-/// @brief One call that wants a connection, numbered by the owner of the pool.
+/// @brief Identifies a call that needs a connection; assigned by the owner of the pool.
 using pooled_call = strong<struct pooled_call_tag, std::uint64_t>;
 
-/// @brief How a call waits where connections are short; lower goes first, then the older call.
+/// @brief Priority of a call that waits for a connection. Lower values go first, then the older call.
 enum class call_need : std::uint8_t
 {
-    pressing, ///< somebody waits for each millisecond, or a whole gang for this one task
+    pressing, ///< latency-sensitive, or a whole gang waits for this task
     usual,
 };
 
-/// @brief Bounds of a pool.
+/// @brief Limits of a pool.
 struct connection_pool_settings
 {
-    std::size_t most = 1000;                ///< connections in all; from the process's descriptors
+    std::size_t most = 1000;                ///< connections in total; from the descriptor budget
     std::size_t most_each = 1;              ///< connections to one address
-    duration busy_lasts = milliseconds(25); ///< a call waits that long for a connection of its address before
-                                            ///< it takes another one: an order is answered within a few ms
-    duration idle_lasts = seconds(15);      ///< a connection that nobody used for that long is closed
+    duration busy_lasts = milliseconds(25); ///< how long a call waits for a busy connection to its address
+                                            ///< before another is opened: orders take only a few ms
+    duration idle_lasts = seconds(15);      ///< connections that are unused for this long are closed
 };
 
-/// @brief A call that may go now.
+/// @brief A call and the connection that was assigned to it.
 struct pool_grant
 {
     pooled_call call{};
     pooled_id connection{};
     std::string address;
-    bool fresh{};                      ///< the connection is to be opened
-    std::optional<pooled_id> replaced; ///< an idle connection that is to be closed first
+    bool fresh{};                      ///< the connection has to be opened
+    std::optional<pooled_id> replaced; ///< an idle connection that has to be closed first
 };
 
 /// @brief Shares a bounded number of connections among calls to many addresses.
 ///
-/// A call takes an idle connection of its address. Where its address has none, it opens one, in the place of
-/// the one that has been idle for longest if there are as many as there may be. Where its address has busy
-/// ones, it waits for one of them for a moment before it opens another, as opening costs more than the wait.
-/// Where all are busy it waits too; a connection that comes free goes to the call that needs it most.
+/// A call uses an idle connection to its address. If the address has no connection, one is opened; if the
+/// pool is full, the least recently used idle connection is closed for it. If all connections to the address
+/// are busy, the call first waits `busy_wait_limit` for one of them, as opening another usually takes longer.
+/// If all connections of the pool are busy, the call waits, and the next connection to be released goes to
+/// the waiting call with the highest priority.
 /// @since 0.3
 class connection_pool
 {
@@ -68,19 +69,19 @@
     {
     }
 
-    /// @brief A call wants a connection; without a grant it waits. Complexity: logarithmic.
-    /// @param give_up from then on `expire` names it
+    /// @brief Requests a connection for a call. Without a grant the call waits. Complexity: logarithmic.
+    /// @param deadline time from which `expire` returns the call if it still waits
     std::optional<pool_grant> want(pooled_call call, const std::string& address, call_need need,
                                    monotonic_time give_up, monotonic_time now);
-    /// @brief Gives further connections to calls that have waited for a busy one for a while.
+    /// @brief Opens more connections for calls that have waited `busy_wait_limit` for a busy one.
     std::vector<pool_grant> open_more(monotonic_time now);
-    /// @brief The call on a connection is over.
-    /// @param open whether the connection may be used again
-    /// @return the call that goes next in its place, if one waits
+    /// @brief Returns a connection after its call has finished.
+    /// @param open whether the connection can be used again
+    /// @return the waiting call that is granted a connection now, if any
     std::optional<pool_grant> release(pooled_id connection, bool open, monotonic_time now);
-    /// @brief Takes out calls that have waited for as long as they may.
+    /// @brief Removes and returns waiting calls whose deadline has passed.
     std::vector<pooled_call> expire(monotonic_time now);
-    /// @brief Takes out connections that were idle for long, oldest first; the owner closes them.
+    /// @brief Removes and returns connections past the idle timeout, oldest first; the owner closes them.
     std::vector<pooled_id> close_idle(monotonic_time now);
 
     [[nodiscard]] std::size_t open() const
@@ -97,20 +98,20 @@
     }
 
   private:
-    /// Orders what waits: need, then age.
+    /// Order of waiting calls: priority, then age.
     using turn = std::pair<call_need, std::uint64_t>;
     struct waiting_call
     {
         pooled_call call{};
         monotonic_time give_up{};
-        bool waits_for_own{}; ///< for a busy connection of its address
+        bool waits_for_own{}; ///< for a busy connection to its address, not for another one
     };
     struct address_state
     {
         std::size_t open{};
-        std::vector<pooled_id> idle; ///< the last one is used first
+        std::vector<pooled_id> idle; ///< most recently used last, used first
         std::map<turn, waiting_call> waiting;
-        std::optional<turn> in_line; ///< its place in `m_short`
+        std::optional<turn> in_line; ///< its key in `m_waiting_for_capacity`
     };
     struct idle_connection
     {
@@ -135,10 +136,10 @@
     std::map<std::string, address_state> m_addresses;
     std::map<pooled_id, connection_state> m_connections;
     std::list<idle_connection> m_idle;   ///< least recently used first
-    std::map<turn, std::string> m_short; ///< addresses whose first call waits for room in the pool
+    std::map<turn, std::string> m_short; ///< addresses whose first call waits for pool capacity
     std::set<std::tuple<monotonic_time, turn, std::string>> m_deadlines;
     std::set<std::tuple<monotonic_time, turn, std::string>>
-        m_patient; ///< until when calls wait for a busy one
+        m_patient; ///< calls that wait for a busy connection, by the end of that wait
     std::uint64_t m_next_connection = 1;
     std::uint64_t m_next_turn = 1;
 };
--- a/include/walkthread/fabric/core_node.hpp
+++ b/include/walkthread/fabric/core_node.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief A process that keeps a replica of the workload group, and leads it at times.
+/// @brief A process that hosts a replica of the workload group and may lead the group.
 /// @since 0.2
 
 #include <memory>
@@ -18,29 +18,30 @@
 namespace walkthread
 {
 
-/// @brief The one group that holds the workload.
+/// @brief The replicated group that holds the workload state.
 inline constexpr group_id workload_group{0};
 
-/// @brief Times of a core node.
+/// @brief Settings of a core node.
 struct core_node_settings
 {
     replica_settings replication{};
-    milliseconds tick{40};            ///< of the replica: under half a heartbeat
-    milliseconds join_every{300};     ///< a replica outside the membership asks that often
-    milliseconds voter_silent{2500};  ///< a newcomer takes a voter's place after that: above an election
-    milliseconds pass_gap{2};         ///< passes are that far apart: several answers share one
-    milliseconds review_every{500};   ///< the leader looks for members that are silent or behind
-    milliseconds member_behind{1200}; ///< silent for longer than an election: reported
-    milliseconds report_again{1000};  ///< a member that stays behind is reported that often
-    std::uint64_t lag_reported = 500; ///< entries; about two busy seconds
-    milliseconds leader_heard{400};   ///< a replica that heard the leader so lately knows its workers: above
-                                      ///< three heartbeats, below an election and a lease
-    milliseconds asker_known{5000};   ///< who asked within that time is told of a new leader
+    milliseconds tick{40};        ///< of the replica; less than half a heartbeat interval
+    milliseconds join_every{300}; ///< how often a replica outside the membership asks to join
+    milliseconds voter_silent{
+        2500};                ///< silence after which a learner may replace a voter; longer than an election
+    milliseconds pass_gap{2}; ///< least time between passes, so that one pass handles several answers
+    milliseconds review_every{500};   ///< how often the leader checks for silent or lagging members
+    milliseconds member_behind{1200}; ///< silence after which a member is reported; longer than an election
+    milliseconds report_again{1000};  ///< how often a lagging member is reported again
+    std::uint64_t lag_reported = 500; ///< in entries; about two seconds under load
+    milliseconds leader_heard{400};   ///< a replica with leader contact within this time has current worker
+                                      ///< descriptions: above three heartbeats, below an election and a lease
+    milliseconds asker_known{5000}; ///< processes that queried within this time are notified of a new leader
     newcomer_settings newcomers{};
     dispatch_settings dispatch{};
 };
 
-/// @brief A process with a replica. Belongs to the loop's thread.
+/// @brief A process with a replica. To be used from the event loop's thread only.
 /// @since 0.2
 class core_node final : public fabric_node
 {
@@ -49,10 +50,11 @@
               outside_hooks outside, decision_log& log, std::function<void(const storage_error&)> stop);
     ~core_node() override;
 
-    /// @brief Opens the data folder and starts. @return what failed, or empty
+    /// @brief Opens the data folder and starts.
+    /// @return an error message, or an empty string on success
     std::string start() override;
     void prepare_stop() override;
-    /// @brief Whether this process leads no longer, so that it may end.
+    /// @brief Whether this process no longer leads, so that it may exit.
     [[nodiscard]] bool may_end() const;
     void fill(figure_page& page) const override;
 
@@ -96,7 +98,7 @@
     void arm_pass(monotonic_time when);
     void run_pass();
 
-    // core_calls.cpp: calls at the leader
+    // core_calls.cpp: calls handled by the leader
     void propose(const workload_command& command,
                  std::function<void(std::optional<workload_result>)> handler);
     void propose_and_reply(const workload_command& command, const call_handler& handler);
@@ -126,30 +128,31 @@
     std::unique_ptr<dispatcher> m_dispatcher;
     advice_desk m_desk;
     time_histograms m_commit_times{
-        "walkthread_commit_seconds", "From a proposal at the leader to its commit.", {}};
-    time_histograms m_start_waits{
-        "walkthread_start_wait_seconds", "From a step's turn to the plan of its tasks, by queue.", {"queue"}};
+        "walkthread_commit_seconds", "Time from a proposal at the leader to its commit.", {}};
+    time_histograms m_start_waits{"walkthread_start_wait_seconds",
+                                  "Time from a step becoming ready to the planning of its tasks, by queue.",
+                                  {"queue"}};
     time_histograms m_advice_times{
-        "walkthread_advice_seconds", "Questions to the placement advisor, waiting included.", {"answered"}};
+        "walkthread_advice_seconds", "Duration of advisor queries, including queueing.", {"answered"}};
     std::uint64_t m_led_term = 0;
     monotonic_time m_join_asked{};
     monotonic_time m_last_pass{};
     monotonic_time m_members_reviewed{};
-    /// A process that asked who leads.
+    /// A process that sent a leader query.
     struct known_asker
     {
         monotonic_time asked{};
-        bool can_advise{}; ///< it reaches the placement advisor
+        bool can_advise{}; ///< it can reach the placement advisor
     };
-    std::map<std::string, known_asker> m_askers;   ///< by address, to tell them of a change
-    std::map<replica_id, monotonic_time> m_behind; ///< when members were last reported as behind
+    std::map<std::string, known_asker> m_askers;   ///< by address; notified of a new leader
+    std::map<replica_id, monotonic_time> m_behind; ///< when lagging members were last reported
     boost::asio::steady_timer m_pass_timer;
     bool m_pass_due = false;
     bool m_stopping = false;
     bool m_disk_refuses = false;
 };
 
-/// @brief The address for peers of a replica, which its identity carries.
+/// @brief The peer address of a replica, derived from the IPv4 address in its identity.
 [[nodiscard]] std::string peer_address_of(const replica_id& replica, std::uint16_t port);
 
 } // namespace walkthread
--- a/include/walkthread/fabric/descriptor_budget.hpp
+++ b/include/walkthread/fabric/descriptor_budget.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief How a process's descriptors are divided, so that no use of them can starve another.
+/// @brief Divides a process's file descriptors so that no use can starve another.
 /// @since 0.3
 
 #include <cstddef>
@@ -12,20 +12,20 @@
 namespace walkthread
 {
 
-/// @brief What a process does that takes descriptors.
+/// @brief Uses of a process that need descriptors.
 struct descriptor_uses
 {
-    bool replica{}; ///< keeps a log and snapshots, and speaks with workers when it leads
+    bool replica{}; ///< hosts a replica: has a log and snapshots, and connects to workers when it leads
 };
 
-/// @brief Parts of a process's descriptors. Each user of a part keeps to it by itself.
+/// @brief Shares of a process's descriptors. Each component enforces its own share.
 struct descriptor_budget
 {
-    std::size_t files{};   ///< log, snapshots, folders, standard streams, the loop's own
-    std::size_t peers{};   ///< links to and from other processes, both ways together
-    std::size_t callers{}; ///< connections that others open over HTTP: callers, operators, workers' reports
-    std::size_t looks{};   ///< connections to workers for looks
-    std::size_t orders{};  ///< connections to workers for orders
+    std::size_t files{};   ///< log, snapshots, directories, standard streams, the event loop
+    std::size_t peers{};   ///< links to and from other processes, both directions together
+    std::size_t callers{}; ///< incoming HTTP connections: callers, operators, workers' reports
+    std::size_t looks{};   ///< connections for polling workers
+    std::size_t orders{};  ///< connections for orders to workers
 
     [[nodiscard]] std::size_t sum() const
     {
@@ -33,24 +33,24 @@
     }
 };
 
-/// @brief Descriptors that a process cannot do without, and that it usually wants.
+/// @brief The minimum and the recommended number of descriptors of a process.
 struct descriptor_needs
 {
     std::size_t least{};
     std::size_t usual{};
 };
 
-/// @brief What a process with these uses needs.
+/// @brief The number of descriptors that a process with these uses needs.
 [[nodiscard]] descriptor_needs needs_of(const descriptor_uses& uses);
 
-/// @brief Divides a limit.
-/// @param limit descriptors that this process may have
-/// @return the parts, whose sum is at most `limit`; or a sentence with both figures if it is below the least
-/// need
+/// @brief Divides a descriptor limit into shares.
+/// @param limit descriptors available to this process
+/// @return the shares, whose sum is at most `limit`, or an error message with the limit and the minimum if
+/// the limit is below the minimum
 [[nodiscard]] result<descriptor_budget, std::string> divide_descriptors(std::size_t limit,
                                                                         const descriptor_uses& uses);
 
-/// @brief The limit that the operating system sets for this process.
+/// @brief The descriptor limit of this process (`RLIMIT_NOFILE`).
 [[nodiscard]] std::size_t system_descriptor_limit();
 
 } // namespace walkthread
--- a/include/walkthread/fabric/fabric_node.hpp
+++ b/include/walkthread/fabric/fabric_node.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief What every process has: the loop, the mesh, calls to the leader, and its logs.
+/// @brief The common part of all processes: event loop, mesh, calls to the leader and decision log.
 /// @since 0.2
 
 #include <cstdint>
@@ -22,24 +22,24 @@
 namespace walkthread
 {
 
-/// @brief What a process has to know of itself.
+/// @brief Settings of a process.
 /// @since 0.2
 struct fabric_settings
 {
     std::string name;
     std::string hall;
-    std::string peer_address; ///< where this process hears the others, `IP:PORT`
-    std::string bind_address; ///< where it listens for them, if they reach it through something in between
-    std::vector<std::string> seeds; ///< peer addresses of some that keep replicas; may be stale
-    std::string data_folder;        ///< empty for a process without replica
-    bool founding{};                ///< the very first start of the whole system
-    std::uint32_t losses_borne{2};  ///< disks that may be lost at once
-    std::string report_address;     ///< where workers report to this process; empty if they do not
+    std::string peer_address;       ///< address that peers connect to, `IP:PORT`
+    std::string bind_address;       ///< address to listen on, if peers connect through a proxy or NAT
+    std::vector<std::string> seeds; ///< peer addresses of some processes with replicas; may be stale
+    std::string data_folder;        ///< empty for a process without a replica
+    bool founding{};                ///< this is the first start of the whole cluster
+    std::uint32_t losses_borne{2};  ///< number of disks that may be lost at the same time
+    std::string report_address;     ///< address for worker reports; empty if this process takes none
     milliseconds lease_cap{6000};
-    std::size_t most_links = 1000; ///< to and from other processes, in each direction
+    std::size_t most_links = 1000; ///< links to other processes, for each direction
 };
 
-/// @brief How the outside is reached; the adapter of a platform gives these.
+/// @brief Calls to workers and the placement advisor, provided by the platform adapter.
 struct outside_hooks
 {
     std::function<void(const look_order&, std::function<void(const look_answer&)>)> look;
@@ -52,7 +52,7 @@
     std::function<void(const advice_question&, std::function<void(const advice_answer&)>)> ask_advisor;
 };
 
-/// @brief A process of the system; those that keep replicas are `core_node`s.
+/// @brief A process of the cluster; processes with replicas are `core_node`s.
 /// @since 0.2
 class fabric_node
 {
@@ -63,36 +63,37 @@
     fabric_node(const fabric_node&) = delete;
     fabric_node& operator=(const fabric_node&) = delete;
 
-    /// @brief Opens the mesh and starts. @return what failed, or empty
+    /// @brief Opens the mesh and starts.
+    /// @return an error message, or an empty string on success
     virtual std::string start();
     /// @brief Sends a call to the leader; see `call_router::call`.
     void call(service_call body, milliseconds patience, call_handler handler);
-    /// @brief The address of the leader that this process follows; empty for unknown.
+    /// @brief The address of the leader that calls are sent to; empty for unknown.
     [[nodiscard]] const std::string& leader() const
     {
         return m_router.leader();
     }
-    /// @brief Whether a leader is known and answers.
+    /// @brief Whether a responsive leader is known.
     [[nodiscard]] bool connected() const;
-    /// @brief How long there has been no leader; zero if one is known.
+    /// @brief How long no leader has been known; zero if one is known.
     [[nodiscard]] duration leaderless_for(monotonic_time now) const
     {
         return m_router.leaderless_for(now);
     }
-    /// @brief Takes seeds from changed settings.
+    /// @brief Adds seeds after a settings reload.
     void add_seeds(const std::vector<std::string>& seeds);
-    /// @brief Hands over what others rely on, before a planned stop.
+    /// @brief Transfers leadership, if held, before a planned stop.
     virtual void prepare_stop()
     {
     }
-    /// @brief Puts this process's figures on a metrics page.
+    /// @brief Adds this process's metrics to a metrics page.
     virtual void fill(figure_page& page) const;
 
   protected:
     virtual void take(const std::string& from, mesh_message message);
     virtual bool handle_locally(const service_call& body, const call_handler& handler);
     virtual void ask_around(monotonic_time now);
-    /// @brief The answer to a call that this process can give without the leader, if it can.
+    /// @brief The reply to a call, if this process can give it without the leader.
     [[nodiscard]] virtual std::optional<service_reply> answer_at_once(const service_call& /*body*/,
                                                                       monotonic_time /*now*/) const
     {
@@ -101,10 +102,10 @@
     void note_suspension();
     void note(std::string_view event, std::string_view subject, std::initializer_list<log_field> fields);
     void answer_call(const std::string& from, const call_note& note);
-    /// @brief Sends calls to this leader from now on; empty for unknown. Each change of the leader or of its
-    /// term is written to the log, also where this process was never without one.
+    /// @brief Sets the leader that calls are sent to; empty for unknown. Each change of the leader or its
+    /// term is logged, also a change without an outage in between.
     void follow(const std::string& leader);
-    /// @brief The newest term this process knows of.
+    /// @brief The highest term that this process knows.
     [[nodiscard]] virtual std::uint64_t known_term() const
     {
         return m_watch.term();
@@ -122,9 +123,9 @@
 
   private:
     void tick();
-    duration m_suspended;              ///< how long this machine had been suspended at the last look
-    std::string m_followed;            ///< the leader in the last line of the log about it
-    std::uint64_t m_followed_term = 0; ///< its term there
+    duration m_suspended;              ///< total time this machine had been suspended at the last check
+    std::string m_followed;            ///< the leader in the last logged leader event
+    std::uint64_t m_followed_term = 0; ///< the term in that event
     std::uint64_t m_leader_changes = 0;
 };
 
--- a/include/walkthread/fabric/leader_watch.hpp
+++ b/include/walkthread/fabric/leader_watch.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Finds the leader and the processes that keep replicas, from a few seeds that may be stale.
+/// @brief Discovers the leader and the processes with replicas from a few, possibly stale, seeds.
 /// @since 0.2
 
 #include <functional>
@@ -15,15 +15,16 @@
 namespace walkthread
 {
 
-/// @brief Times of a leader watch.
+/// @brief Query intervals and timeout of a leader watch.
 struct leader_watch_settings
 {
-    milliseconds ask_every{400};      ///< while the leader answers
-    milliseconds ask_unknown{150};    ///< while no leader is known: everyone known is asked
-    milliseconds leader_silent{1100}; ///< three questions without an answer: it is gone or cut off
+    milliseconds ask_every{400};   ///< while the leader responds
+    milliseconds ask_unknown{150}; ///< while no leader is known and all known peers are queried
+    milliseconds leader_silent{
+        1100}; ///< more than two query intervals without a response: the leader failed or is partitioned
 };
 
-/// @brief Who leads, from the answers of whoever answers. Pure: the caller sends the questions.
+/// @brief Determines the leader from received leader status messages. Does no I/O: the caller sends queries.
 /// @since 0.2
 class leader_watch
 {
@@ -31,11 +32,11 @@
     /// @param seeds peer addresses from the settings
     leader_watch(std::vector<std::string> seeds, leader_watch_settings settings);
 
-    /// @brief Takes an answer in.
+    /// @brief Handles a leader status message.
     void take(const std::string& from, const leader_note& note, monotonic_time now);
-    /// @brief Whom to ask now; empty if it is not time yet.
+    /// @brief The peers to query now; empty if no query is due.
     [[nodiscard]] std::vector<std::string> whom_to_ask(monotonic_time now);
-    /// @brief Adds seeds, after the settings have changed.
+    /// @brief Adds seeds after a settings reload.
     void add_seeds(const std::vector<std::string>& seeds);
 
     /// @brief The leader's address, or empty.
@@ -43,7 +44,7 @@
     {
         return m_leader;
     }
-    /// @brief The newest term that a leader was known in.
+    /// @brief The highest term in which a leader was known.
     [[nodiscard]] std::uint64_t term() const
     {
         return m_term;
@@ -57,7 +58,7 @@
     leader_watch_settings m_settings;
     std::set<std::string> m_known;
     std::string m_leader;
-    std::string m_last_other; ///< the last one asked besides the leader
+    std::string m_last_other; ///< the peer last queried in addition to the leader
     std::uint64_t m_term = 0;
     monotonic_time m_heard{};
     monotonic_time m_asked{};
--- a/include/walkthread/fabric/mesh.hpp
+++ b/include/walkthread/fabric/mesh.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
 /// @file
-/// @brief Messages to and from the other processes, over one connection in each direction.
+/// @brief Messages between processes, over one connection in each direction.
 ///
-/// Delivery is best effort: what matters is sent again by who sent it. A peer is named by the address where
-/// it hears others.
+/// Delivery is best effort: senders repeat messages that matter. A peer is identified by the address that it
+/// listens on.
 /// @since 0.2
 
 #include <cstddef>
@@ -21,37 +21,39 @@
 namespace walkthread
 {
 
-/// @brief The process's connections to its peers. Belongs to the loop's thread.
+/// @brief The links of a process to its peers. To be used from the event loop's thread only.
 /// @since 0.2
 class mesh
 {
   public:
     using handler = std::function<void(const std::string& from, mesh_message message)>;
-    /// Told when the connection to a peer comes up or goes down, with the reason.
+    /// Called when the outgoing link to a peer comes up or goes down, with the reason.
     using link_handler = std::function<void(const std::string& to, bool up, const std::string& reason)>;
 
-    /// @param self what this process says of itself
-    /// @param most_links connections in each direction; beyond that the least recently used one is closed
+    /// @param self the greeting that this process sends on each new link
+    /// @param max_links limit for each direction; beyond it the least recently used link is closed
     mesh(boost::asio::io_context& loop, peer_greeting self, handler taker, link_handler on_link,
          std::size_t most_links = 1000);
     ~mesh();
     mesh(const mesh&) = delete;
     mesh& operator=(const mesh&) = delete;
 
-    /// @brief Listens at the greeting's address, or at `bind_to` where that is reached through something in
-    /// between. @return what failed, or empty
+    /// @brief Listens on the address in the greeting, or on `bind_to` if peers connect through a proxy or
+    /// NAT.
+    /// @return an error message, or an empty string on success
     std::string open(const std::string& bind_to = {});
-    /// @brief Sends a message; opens a connection if there is none. Messages over the bound are dropped.
+    /// @brief Sends a message and opens a link if there is none. Messages are dropped while the queue is
+    /// full.
     void send(const std::string& to, const mesh_message& message);
-    /// @brief Sends an already encoded message, for the same content to several peers.
+    /// @brief Sends an encoded message, to avoid encoding it again for each of several peers.
     void send_encoded(const std::string& to, const std::string& body);
-    /// @brief Ends the connection to a peer that is gone for good.
+    /// @brief Closes the link to a peer that was permanently removed.
     void forget(const std::string& to);
 
     [[nodiscard]] const std::string& self() const;
     [[nodiscard]] std::uint64_t bytes_sent() const;
     [[nodiscard]] std::uint64_t messages_dropped() const;
-    /// @brief Connections closed as there were more than the bound.
+    /// @brief Number of links closed because of the limit.
     [[nodiscard]] std::uint64_t links_displaced() const;
 
   private:
--- a/include/walkthread/fabric/messages.hpp
+++ b/include/walkthread/fabric/messages.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Messages between walkthread's processes on the users' platform, and the calls that travel in them.
+/// @brief Messages between walkthread processes, and the calls that they carry.
 /// @since 0.2
 
 #include <cstdint>
@@ -17,10 +17,10 @@
 {
 
 // ---------------------------------------------------------------------------------------------------------
-// Calls: each may be sent again and then gives the same answer
+// Calls: all are idempotent, a repeated call gives the same reply
 // ---------------------------------------------------------------------------------------------------------
 
-/// @brief A caller hands a submission in.
+/// @brief A caller sends a submission.
 struct submit_call
 {
     std::string host;
@@ -51,7 +51,7 @@
     MSGPACK_DEFINE(host, path, id, key)
 };
 
-/// @brief A caller asks how many submissions of a queue wait.
+/// @brief A caller asks for the number of waiting submissions of a queue.
 struct pending_call
 {
     std::string host;
@@ -60,56 +60,56 @@
     MSGPACK_DEFINE(host, path, key)
 };
 
-/// @brief An operator sends a configuration.
+/// @brief An operator replaces the cluster configuration.
 struct put_catalogue_call
 {
     catalogue next;
     MSGPACK_DEFINE(next)
 };
 
-/// @brief An operator reads the configuration.
+/// @brief An operator reads the cluster configuration.
 struct get_catalogue_call
 {
     std::uint8_t unused{};
     MSGPACK_DEFINE(unused)
 };
 
-/// @brief A worker reports.
+/// @brief A worker's periodic report.
 struct report_call
 {
     worker_report report;
     MSGPACK_DEFINE(report)
 };
 
-/// @brief A worker ends.
+/// @brief A worker announces that it shuts down.
 struct leave_call
 {
     std::string life;
     MSGPACK_DEFINE(life)
 };
 
-/// @brief An operator asks for a wave of upkeep.
+/// @brief An operator starts a maintenance wave.
 struct begin_wave_call
 {
     begin_wave wave;
     MSGPACK_DEFINE(wave)
 };
 
-/// @brief An operator asks how far a wave is.
+/// @brief An operator asks for the progress of a maintenance wave.
 struct wave_state_call
 {
     std::uint64_t wave{};
     MSGPACK_DEFINE(wave)
 };
 
-/// @brief The leader asks another process to put a question to the placement advisor.
+/// @brief The leader asks another process to send an advisor query.
 struct advise_call
 {
     advice_question question;
     MSGPACK_DEFINE(question)
 };
 
-/// @brief An engineer asks why a submission is as it is.
+/// @brief An engineer asks for an explanation of a submission's state.
 struct explain_call
 {
     submission_id id{};
@@ -120,26 +120,26 @@
     std::variant<submit_call, state_call, cancel_call, pending_call, put_catalogue_call, get_catalogue_call,
                  report_call, leave_call, begin_wave_call, wave_state_call, advise_call, explain_call>;
 
-/// @brief What became of a call.
+/// @brief The outcome of a call.
 enum class reply_kind : std::uint8_t
 {
-    done,        ///< it holds; `text` or `number` has what was asked for
-    refused,     ///< it does not hold and never will; `code` and `text` say why
-    unavailable, ///< nothing of it was kept; come back
-    not_leading, ///< another process leads; nothing was done
-    unknown,     ///< it may hold or not: the call may be sent again
+    done,        ///< it took effect; `text` or `number` has the result
+    refused,     ///< permanently rejected; `code` and `text` have the reason
+    unavailable, ///< it had no effect; the caller may retry
+    not_leading, ///< another process leads; it had no effect
+    unknown,     ///< it may have taken effect or not; the call can be repeated
 };
 
-/// @brief The answer to a call.
+/// @brief The reply to a call.
 struct service_reply
 {
     std::uint8_t kind{};    ///< a reply_kind
     std::int32_t code{};    ///< a workload_code where refused
-    std::uint64_t number{}; ///< a count, a version or a submission_phase; unavailable: seconds until the
-                            ///< caller should come back, 0 for the usual time
+    std::uint64_t number{}; ///< a count, a version or a submission_phase; if unavailable, the seconds
+                            ///< after which the caller should retry, 0 for the default
     std::string text;       ///< a document or a reason
-    std::string leader;     ///< where not leading: who does, as far as known
-    std::string redirect;   ///< reports: where to send later ones; empty for anywhere
+    std::string leader;     ///< if not leading, the address of the leader if known
+    std::string redirect;   ///< for reports: the address for later reports; empty for any
     advice_answer advice;   ///< advise_call only
     MSGPACK_DEFINE(kind, code, number, text, leader, redirect, advice)
 
@@ -162,16 +162,16 @@
 // Frames between processes
 // ---------------------------------------------------------------------------------------------------------
 
-/// @brief First on each connection: who speaks.
+/// @brief The first frame of each connection; identifies the sender.
 struct peer_greeting
 {
-    std::string address; ///< where the speaker hears peers
+    std::string address; ///< the address that the sender listens on for peers
     std::string name;
     bool keeps_replica{};
     MSGPACK_DEFINE(address, name, keeps_replica)
 };
 
-/// @brief A replica's message, encoded.
+/// @brief An encoded message between replicas.
 struct replica_note
 {
     replica_id from{};
@@ -180,31 +180,31 @@
     MSGPACK_DEFINE(from, to, message)
 };
 
-/// @brief Asks a process that keeps a replica who leads.
+/// @brief Asks a process with a replica who leads.
 struct leader_question
 {
-    bool can_advise{}; ///< the asker reaches the placement advisor
+    bool can_advise{}; ///< the sender can reach the placement advisor
     MSGPACK_DEFINE(can_advise)
 };
 
-/// @brief Who leads, as far as the speaker knows.
+/// @brief The leader that the sender knows of.
 struct leader_note
 {
-    bool leads{};       ///< the speaker itself, surely
-    std::string leader; ///< its address for peers; empty for unknown
+    bool leads{};       ///< the sender itself leads, confirmed by its lease
+    std::string leader; ///< peer address of the leader; empty for unknown
     std::uint64_t term{};
-    std::vector<std::string> replicas; ///< addresses of all that keep a replica
+    std::vector<std::string> replicas; ///< peer addresses of all processes with a replica
     MSGPACK_DEFINE(leads, leader, term, replicas)
 };
 
-/// @brief A replica outside the membership asks to be let in.
+/// @brief A replica outside the membership asks to join.
 struct join_request
 {
     replica_id self{};
     MSGPACK_DEFINE(self)
 };
 
-/// @brief A reply on its way.
+/// @brief A reply with the number of its call.
 struct reply_note
 {
     std::uint64_t number{};
@@ -212,7 +212,7 @@
     MSGPACK_DEFINE(number, reply)
 };
 
-/// @brief A call on its way, its body encoded.
+/// @brief A numbered call with an encoded body.
 struct call_note
 {
     std::uint64_t number{};
--- a/include/walkthread/fabric/pooled_client.hpp
+++ b/include/walkthread/fabric/pooled_client.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief HTTP calls to many addresses over a bounded number of connections.
+/// @brief HTTP requests to many addresses over a bounded number of connections.
 /// @since 0.3
 
 #include <cstdint>
@@ -20,23 +20,24 @@
 namespace walkthread
 {
 
-/// @brief Opens, uses and closes connections as a `connection_pool` decides. Belongs to the loop's thread.
+/// @brief Opens, uses and closes connections as decided by a `connection_pool`. To be used from the event
+/// loop's thread only.
 /// @since 0.3
 class pooled_client
 {
   public:
-    /// @param name what the connections are for, in logs and figures
+    /// @param name purpose of the connections, used in logs and metric names
     pooled_client(boost::asio::io_context& loop, connection_pool_settings settings, std::string name,
                   decision_log& log);
     ~pooled_client();
     pooled_client(const pooled_client&) = delete;
     pooled_client& operator=(const pooled_client&) = delete;
 
-    /// @brief Sends a request as soon as there is a connection for it.
-    /// @param patience the longest wait for a connection, and then again from its turn to its answer
+    /// @brief Sends a request as soon as a connection is available.
+    /// @param timeout limit for the wait for a connection, and again for the request itself
     void send(const std::string& address, web_request request, call_need need, milliseconds patience,
               web_answer_handler handler);
-    /// @brief Puts the figures of its connections on a metrics page.
+    /// @brief Adds the metrics of the connections to a metrics page.
     void fill(figure_page& page) const;
 
   private:
--- a/include/walkthread/fabric/replica_host.hpp
+++ b/include/walkthread/fabric/replica_host.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
 /// @file
-/// @brief Drives one replica on the event loop, with its disk on a thread of its own.
+/// @brief Runs one replica on the event loop and its disk I/O on a separate thread.
 ///
-/// One write or snapshot is under way at a time; what comes meanwhile rides on the next one. A leader's
-/// appends and committed entries do not wait for the leader's own disk.
+/// One write or snapshot is in progress at a time; output produced meanwhile is batched into the next one. A
+/// leader's append requests and committed entries do not wait for the leader's own disk.
 /// @since 0.2
 
 #include <functional>
@@ -21,17 +21,17 @@
 namespace walkthread
 {
 
-/// @brief What a replica host needs from outside.
+/// @brief Callbacks of a replica host.
 struct replica_host_hooks
 {
     std::function<void(const replica_envelope&)> send;
     std::function<void()> changed; ///< entries were applied, or the role or membership may have changed
-    std::function<void(const storage_error&)> disk_failed;  ///< for good: the process has to stop
-    std::function<void(const storage_error&)> disk_refuses; ///< for now: the write is tried again
-    std::function<void()> disk_accepts;                     ///< again, after it refused
+    std::function<void(const storage_error&)> disk_failed;  ///< permanent failure: the process has to stop
+    std::function<void(const storage_error&)> disk_refuses; ///< transient failure: the write is retried
+    std::function<void()> disk_accepts; ///< the first successful write after a transient failure
 };
 
-/// @brief One replica with its disk. Belongs to the loop's thread.
+/// @brief One replica with its data folder. To be used from the event loop's thread only.
 /// @since 0.2
 class replica_host
 {
@@ -42,13 +42,13 @@
     replica_host(const replica_host&) = delete;
     replica_host& operator=(const replica_host&) = delete;
 
-    /// @brief Starts the tick.
+    /// @brief Starts the periodic tick.
     void start();
     /// @brief Handles a message for this replica.
     void receive(const replica_envelope& envelope);
     /// @brief Proposes an encoded command; see `replicated_group::propose`.
     void propose(wall_ms at, std::string command, replicated_group::result_handler handler);
-    /// @brief Does what is due: sends, writes, applies. Cheap when nothing is.
+    /// @brief Processes pending output: sends, writes, applies. Cheap if there is none.
     void pump();
 
     [[nodiscard]] replicated_group& group()
@@ -78,9 +78,9 @@
     boost::asio::steady_timer m_timer;
     boost::asio::steady_timer m_retry;
     std::unique_ptr<disk> m_disk;
-    std::vector<replica_envelope> m_held; ///< sent once the write under way is done
+    std::vector<replica_envelope> m_held; ///< sent once the write in progress is durable
     bool m_writing = false;
-    bool m_refused = false; ///< the last write; told when one succeeds
+    bool m_refused = false; ///< the last write was rejected; cleared and reported by the next success
     bool m_pumping = false;
     bool m_again = false;
     bool m_failed = false;
--- a/include/walkthread/fabric/web.hpp
+++ b/include/walkthread/fabric/web.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief HTTP requests and answers as plain values, for the event loop's server and client.
+/// @brief HTTP requests and responses as plain values, for the event loop's server and client.
 /// @since 0.2
 
 #include <cstdint>
@@ -24,19 +24,19 @@
 
 struct web_answer;
 
-/// @brief The one process at an address that a request is for; another one may have taken its place there.
+/// @brief Restricts a request to one process at an address, where another process may have replaced it.
 ///
-/// A connection ends with the process at its other end. So the request goes only over a connection that this
-/// process answered on; on any other one a question that does no harm goes first.
+/// A connection does not outlive the process at its other end. The request is therefore sent only over a
+/// connection on which that process has identified itself; on other connections a harmless probe goes first.
 /// @since 0.5
 struct web_recipient
 {
-    std::string name;                                ///< of the process, unique over its lives
-    std::string question;                            ///< a body for the same target
-    std::function<bool(const web_answer&)> is_meant; ///< whether an answer to the question is of this process
+    std::string name;                                ///< identifies the process, unique for each incarnation
+    std::string question;                            ///< the body of the probe, sent to the same target
+    std::function<bool(const web_answer&)> is_meant; ///< whether a response to the probe is from this process
 };
 
-/// @brief A whole request.
+/// @brief A complete request.
 /// @since 0.2
 struct web_request
 {
@@ -45,23 +45,23 @@
     std::string host;
     std::vector<web_header> headers; ///< those whose names begin with "X-", and Authorization
     std::string body;
-    std::optional<web_recipient> recipient; ///< sent: for one process alone
+    std::optional<web_recipient> recipient; ///< client side only: the process that the request is meant for
 
-    /// @brief A header's value, or empty. Complexity: linear in the headers.
+    /// @brief A header's value, or empty if there is none. Complexity: linear in the headers.
     [[nodiscard]] std::string_view header(std::string_view name) const;
 };
 
-/// @brief A whole answer.
+/// @brief A complete response.
 struct web_answer
 {
     unsigned status{};
     std::string body; ///< JSON; empty for none
     std::optional<std::int64_t> retry_after_s;
     std::vector<web_header> headers;
-    bool repeated{}; ///< received: the request was sent twice, so the first may have been carried out before
+    bool repeated{}; ///< client side only: the request was sent twice, the first may have been executed
 };
 
-/// @brief Takes a request and a way to answer it, once, now or later, from the loop's thread.
+/// @brief Handles a request. The callback must be called once, now or later, on the event loop's thread.
 using web_handler = std::function<void(web_request, std::function<void(web_answer)>)>;
 
 } // namespace walkthread
--- a/include/walkthread/fabric/web_listener.hpp
+++ b/include/walkthread/fabric/web_listener.hpp
@@ -16,17 +16,17 @@
 namespace walkthread
 {
 
-/// @brief Bounds of a listener.
+/// @brief Limits of a listener.
 struct web_bounds
 {
-    std::size_t header_bytes = 16U << 10U; ///< as the users' limits say by default
-    std::size_t body_bytes = 1U << 20U;    ///< a configuration of thousands of queues
-    milliseconds header_patience{3000};    ///< from a request's first byte to its end
-    milliseconds idle_patience{60000};     ///< a kept-alive connection without a request
-    std::size_t connections = 3000;        ///< beyond that the one that is idle for longest is closed
+    std::size_t header_bytes = 16U << 10U; ///< the default limit of the documented interface
+    std::size_t body_bytes = 1U << 20U;    ///< fits a cluster configuration with thousands of queues
+    milliseconds header_patience{3000};    ///< from the first byte of a request to its last
+    milliseconds idle_patience{60000};     ///< for a keep-alive connection without a request
+    std::size_t connections = 3000; ///< beyond that the connection that has been idle longest is closed
 };
 
-/// @brief Serves HTTP on one address. Belongs to the loop's thread.
+/// @brief Serves HTTP on one address. To be used from the event loop's thread only.
 /// @since 0.2
 class web_listener
 {
@@ -36,15 +36,16 @@
     web_listener(const web_listener&) = delete;
     web_listener& operator=(const web_listener&) = delete;
 
-    /// @brief Listens on `IP:PORT`. @return what failed, or empty
+    /// @brief Listens on `IP:PORT`.
+    /// @return an error message, or an empty string on success
     std::string open(const std::string& address);
-    /// @brief From now on each answer ends its connection; idle connections are closed.
+    /// @brief Closes each connection after its next response.
     void wind_down();
-    /// @brief Accepts no more connections.
+    /// @brief Stops accepting connections.
     void stop_accepting();
-    /// @brief Requests that wait for their answer or are being read or written.
+    /// @brief Number of requests that are being read, handled or answered.
     [[nodiscard]] std::size_t in_progress() const;
-    /// @brief Open connections.
+    /// @brief Number of open connections.
     [[nodiscard]] std::size_t connections() const;
 
   private:
--- a/src/fabric/advice_desk.cpp
+++ b/src/fabric/advice_desk.cpp
@@ -8,14 +8,13 @@
 
 namespace
 {
-constexpr duration asker_lasts = seconds(2); // processes report every 0.4 s
+constexpr duration asker_lasts = seconds(2); // clients report every 0.4 s
 constexpr duration pause_after_failure =
-    seconds(1);                   // a process that got no answer is passed over for a while
-constexpr double idle_part = 0.4; // of the processes without a question: then even what is late may ask
-constexpr std::size_t kept_for_urgent = 2; // of the processes, where there are at least twice as many
-constexpr duration longest_wait =
-    seconds(1); // then a question goes ahead of urgent ones: a lasting task waited
-                // 8 s for one behind a burst of urgent work; few wait at a time
+    seconds(1);                               // a client that got no response is not used for this time
+constexpr double idle_part = 0.4;             // share of idle clients from which late work may query too
+constexpr std::size_t kept_for_urgent = 2;    // if there are at least twice as many clients
+constexpr duration longest_wait = seconds(1); // then a normal query goes ahead of urgent ones; otherwise a
+                                              // burst of urgent work delays a long-running task for seconds
 } // namespace
 
 advice_desk::advice_desk(std::function<void(const std::string&, const advice_question&, answer_handler)> ask)
@@ -71,7 +70,8 @@
     return static_cast<double>(idle) >= idle_part * static_cast<double>(live_askers(now));
 }
 
-// Those that failed go last, the latest failure at the end: some may be heard and never be reached.
+// Clients that failed go last, the most recent failure at the end: a client may report to this process and
+// yet never be reachable.
 std::string advice_desk::free_asker(monotonic_time now) const
 {
     std::string best;
--- a/src/fabric/call_router.cpp
+++ b/src/fabric/call_router.cpp
@@ -11,10 +11,11 @@
 
 namespace
 {
-constexpr milliseconds look_every{50};    // give-ups and repeats are at most that late
-constexpr milliseconds repeat_after{450}; // an answer usually comes within 30 ms; above a slow disk's sync
+constexpr milliseconds look_every{50};    // resolution of deadlines and resends
+constexpr milliseconds repeat_after{450}; // replies usually take 30 ms; longer than the fsync of a slow disk
 
-// Operators and workers turn to other processes by themselves; their calls wait as long as they may.
+// Only calls from callers are rejected during an outage. Operators and workers try other processes by
+// themselves, so their calls wait until the timeout.
 bool is_of_caller(const service_call& body)
 {
     return std::holds_alternative<submit_call>(body) || std::holds_alternative<state_call>(body) ||
@@ -55,14 +56,13 @@
 
 service_reply call_router::refuse_without_leader(milliseconds patience, monotonic_time now)
 {
-    service_reply reply = make_reply(reply_kind::unavailable, "No leader is known.");
+    service_reply reply = make_reply(reply_kind::unavailable, "No leader is known; retry later.");
     const double draw = std::uniform_real_distribution<double>(0.0, 1.0)(m_random);
     reply.number = static_cast<std::uint64_t>(m_outage.come_back_s(now, draw, patience));
     return reply;
 }
 
-// Calls that wait for a leader and were sent to none get their final answer; what became of those that were
-// sent is open, they wait on.
+// Rejects calls that were never sent. The outcome of calls that were sent is unknown, so they wait on.
 void call_router::give_up_hopeless(monotonic_time now)
 {
     if (!m_outage.hopeless(now))
@@ -130,7 +130,7 @@
     const auto found = m_calls.find(note.number);
     if (found == m_calls.end())
     {
-        return; // given up meanwhile, or answered by an earlier leader
+        return; // timed out meanwhile, or answered by an earlier leader
     }
     if (found->second.to_leader && note.reply.what() == reply_kind::not_leading)
     {
@@ -139,7 +139,7 @@
         {
             send(note.number, found->second, m_leader);
         }
-        return; // sent again when the leader is known, or after a while
+        return; // sent again when the leader changes or after `resend_interval`
     }
     finish(note.number, std::move(note.reply));
 }
--- a/src/fabric/connection_pool.cpp
+++ b/src/fabric/connection_pool.cpp
@@ -79,7 +79,7 @@
         return std::nullopt;
     }
     remove(connection);
-    take_place_in_line(state, address); // its own calls may want the place that came free
+    take_place_in_line(state, address); // calls to the same address may use the released capacity
     if (m_short.empty())
     {
         forget_if_unused(address);
@@ -171,7 +171,7 @@
     return out;
 }
 
-// An address stands in line for room in the pool while its first call could use a connection more.
+// An address waits for pool capacity while its first waiting call could use another connection.
 void connection_pool::take_place_in_line(address_state& state, const std::string& address)
 {
     if (state.in_line)
--- a/src/fabric/core_calls.cpp
+++ b/src/fabric/core_calls.cpp
@@ -1,4 +1,4 @@
-// The half of core_node that answers calls at the leader.
+// The part of core_node that handles calls at the leader.
 
 #include <walkthread/fabric/core_node.hpp>
 
@@ -43,7 +43,7 @@
     return true;
 }
 
-// No value if the call may go on. The log names the queue, never a key.
+// Returns no value if access is granted. The log has the queue, never a key.
 std::optional<service_reply> core_node::refuse_access(const access_decision& caller, std::string_view call)
 {
     const auto refused = [&](workload_code code, std::string text)
@@ -64,9 +64,9 @@
     case access_verdict::no_queue:
         return refuse(workload_code::unknown_queue, "There is no such queue.");
     case access_verdict::no_key:
-        return refused(workload_code::no_key, "This queue wants a key of an organisation.");
+        return refused(workload_code::no_key, "This queue requires the key of an organisation.");
     case access_verdict::unknown_key:
-        return refused(workload_code::unknown_key, "No organisation holds this key.");
+        return refused(workload_code::unknown_key, "This key does not belong to any organisation.");
     }
     return make_reply(reply_kind::unavailable);
 }
@@ -96,7 +96,7 @@
 {
     if (!enough_copies())
     {
-        handler(make_reply(reply_kind::unavailable, "Too few replicas would hold it yet."));
+        handler(make_reply(reply_kind::unavailable, "Too few replicas to store the command safely."));
         return;
     }
     propose(command,
@@ -104,7 +104,7 @@
             {
                 if (!outcome)
                 {
-                    handler(make_reply(reply_kind::unknown, "The commit was not seen."));
+                    handler(make_reply(reply_kind::unknown, "The outcome of the commit is unknown."));
                     return;
                 }
                 handler(outcome->code == 0
@@ -162,8 +162,8 @@
                       });
 }
 
-// A caller often asks right after its last task has ended: what is known here but not committed yet is waited
-// for, a few milliseconds, so that the caller need not ask again.
+// Callers often ask right after their last task has ended. The reply waits a few milliseconds until ends that
+// are known but not committed yet are applied, so that the caller need not ask again.
 void core_node::handle(const state_call& call, const call_handler& handler)
 {
     m_dispatcher->after_recording(call.id,
@@ -310,7 +310,7 @@
             const bool ready = m_state.ready().contains(step_ref{call.id, round_id{r}, s});
             text += " Round " + std::to_string(r) + " step " + std::to_string(s) + ": " +
                     std::to_string(step.completed) + " of " + std::to_string(step.tasks.size()) +
-                    " tasks completed" + (ready ? ", waits for room or advice." : ".");
+                    " tasks completed" + (ready ? ", waits for capacity or advice." : ".");
         }
     }
     handler(make_reply(reply_kind::done, std::move(text)));
@@ -320,9 +320,9 @@
 // Workers and peers
 // ---------------------------------------------------------------------------------------------------------
 
-// A report that says nothing new is answered by any replica that hears the leader: 1,100 workers send 730 a
-// second, which would take the leader's time from starts. Whoever leaves, stays after all, or is not known as
-// it says, is the leader's business.
+// Any replica with recent leader contact answers a report without changes: 1,100 workers send 730 reports a
+// second, which would delay task starts at the leader. Reports that announce or revoke a leave or differ from
+// the known description go to the leader.
 std::optional<service_reply> core_node::answer_at_once(const service_call& body, monotonic_time now) const
 {
     const auto* call = std::get_if<report_call>(&body);
@@ -343,7 +343,8 @@
     return reply;
 }
 
-// Where a worker is to report from now on: to a replica that does not lead, each to another one.
+// The address for later reports: a voter other than the leader, chosen by a hash of the incarnation to spread
+// the load.
 std::string core_node::report_address_of_another(const std::string& life, monotonic_time now) const
 {
     const replica& core = m_replica->group().core();
--- a/src/fabric/core_members.cpp
+++ b/src/fabric/core_members.cpp
@@ -1,4 +1,4 @@
-// The part of core_node that meets peers and keeps the membership whole.
+// The part of core_node that handles peer messages and maintains the membership.
 
 #include <walkthread/fabric/core_node.hpp>
 
@@ -60,7 +60,7 @@
     }
     else if (auto* known = std::get_if<leader_note>(&message))
     {
-        m_watch.take(from, *known, now); // where the others are; who leads is the replica's own knowledge
+        m_watch.take(from, *known, now); // for the addresses of peers; the replica itself knows the leader
     }
     else
     {
@@ -144,7 +144,7 @@
     return {};
 }
 
-// A standby that is caught up takes the place of a voter that is silent for long.
+// Promotes a responsive learner to replace a voter that has been unresponsive for `voter_timeout`.
 void core_node::promote_standby(monotonic_time now)
 {
     replica& core = m_replica->group().core();
@@ -176,7 +176,8 @@
     }
 }
 
-// A replica that is in no membership it knows of asks everybody; only the leader acts on it.
+// A replica that is not in its known membership, or has no leader contact, sends join requests to all known
+// peers; only the leader handles them.
 void core_node::ask_to_join(monotonic_time now)
 {
     const replica& core = m_replica->group().core();
@@ -228,7 +229,8 @@
     }
     if (decided.remove)
     {
-        static_cast<void>(core.remove_member(*decided.remove, now)); // asked again if a change is pending
+        static_cast<void>(
+            core.remove_member(*decided.remove, now)); // requested again if a membership change is pending
         m_replica->pump();
     }
     if (decided.add && ok(core.add_learner(*decided.add, now)))
@@ -242,7 +244,7 @@
     }
 }
 
-// A newcomer that will never catch up would keep every other one from voting.
+// A learner that never catches up would block the promotion of all others.
 void core_node::forget_silent_newcomer(monotonic_time now)
 {
     replica& core = m_replica->group().core();
--- a/src/fabric/core_node.cpp
+++ b/src/fabric/core_node.cpp
@@ -15,10 +15,11 @@
 
 namespace
 {
-constexpr std::uint64_t founding_life = 1; // the low half of a founder's incarnation; later ones are random
-constexpr std::size_t most_questions_waiting = 2; // so that a process that comes free has one at hand
+constexpr std::uint64_t founding_life =
+    1; // the low half of a founder's incarnation; random for later replicas
+constexpr std::size_t most_questions_waiting = 2; // so that a client that becomes idle has the next query
 
-// A replica's identity carries its IP number: who knows a membership knows where its members are.
+// A replica's identity contains its IPv4 address, so the membership alone gives the addresses of its members.
 replica_id make_replica_id(const std::string& ip, std::uint64_t life)
 {
     const std::uint64_t number = detail::ip_number(ip);
@@ -41,7 +42,7 @@
           [this](const std::string& asker, const advice_question& question,
                  const advice_desk::answer_handler& handler)
           {
-              constexpr milliseconds patience{2500}; // the slowest question takes about 1 s
+              constexpr milliseconds patience{2500}; // the slowest query takes about 1 s
               m_router.call_peer(asker, advise_call{question}, patience,
                                  [handler](const service_reply& reply)
                                  {
@@ -86,7 +87,8 @@
     auto folder = data_folder::open(m_settings.data_folder, fresh);
     if (!ok(folder))
     {
-        return "Error " + std::to_string(error_of(folder).number()) + ": " + error_of(folder).detail;
+        return "Cannot open the data folder: error " + std::to_string(error_of(folder).number()) + ": " +
+               error_of(folder).detail;
     }
     open_group(std::move(value_of(folder)));
     std::string failed = fabric_node::start();
@@ -227,7 +229,7 @@
           {"submissions", m_state.submissions().size()}});
     m_dispatcher =
         std::make_unique<dispatcher>(m_state, m_times.dispatch, make_hooks(), m_log, m_led_term, now);
-    // Otherwise the first questions to the advisor would wait until the processes that put them come by.
+    // Otherwise the first advisor queries would wait for the next leader query of each client.
     for (const auto& [address, known] : m_askers)
     {
         if (known.can_advise)
@@ -238,7 +240,7 @@
     tell_leadership(now);
 }
 
-// Those that asked lately need not find out by themselves.
+// Notifies processes with a recent leader query, so that they need not discover the change.
 void core_node::tell_leadership(monotonic_time now)
 {
     const leader_note news = present_leader(now);
@@ -261,14 +263,14 @@
     }
 }
 
-// A leader whose disk takes nothing would commit by the others' copies alone, and its snapshots and votes
-// would wait: another one leads until the disk takes bytes again. It goes on as a replica, as others may need
-// its copy.
+// A leader whose disk rejects writes could commit only through the copies of other replicas, and its
+// snapshots and votes would be delayed, so it transfers leadership until the disk recovers. It continues as a
+// replica, as the others may need its copy.
 void core_node::take_refusal(const storage_error& error)
 {
     if (std::exchange(m_disk_refuses, true))
     {
-        return; // told once; the write is tried again until the disk takes it
+        return; // logged once; the write is retried until it succeeds
     }
     replica& core = m_replica->group().core();
     const bool leads_now = core.role() == replica_role::leader;
@@ -307,7 +309,7 @@
                     handler(outcome.has_value());
                 });
     };
-    // After a pause this process may lead no longer: each order checks that first.
+    // After a pause this process may have lost leadership, so each order checks it first.
     hooks.look =
         [this, no_look](const look_order& order, const std::function<void(const look_answer&)>& handler)
     {
@@ -375,7 +377,7 @@
     arm_pass(m_last_pass + m_times.pass_gap);
 }
 
-// The next pass, at that time; one that was to come later no longer does.
+// Schedules the next pass and cancels a pending one.
 void core_node::arm_pass(monotonic_time when)
 {
     m_pass_timer.expires_after(std::max<duration>(when - monotonic_now(), duration{0}));
@@ -416,28 +418,28 @@
     gauge("walkthread_term", "The replica's term.", core.term().value());
     gauge("walkthread_leads", "1 if this process leads.", m_dispatcher ? 1 : 0);
     gauge("walkthread_commit_index", "The last entry known to be committed.", core.commit_index().value());
-    gauge("walkthread_voters", "Replicas that vote.", core.members().voters.size());
-    gauge("walkthread_learners", "Replicas that stand by.", core.members().learners.size());
-    gauge("walkthread_votes", "1 if this replica votes.", core.members().is_voter(core.self()) ? 1 : 0);
+    gauge("walkthread_voters", "Voters in the membership.", core.members().voters.size());
+    gauge("walkthread_learners", "Learners in the membership.", core.members().learners.size());
+    gauge("walkthread_votes", "1 if this replica is a voter.", core.members().is_voter(core.self()) ? 1 : 0);
     gauge("walkthread_submissions_kept", "Submissions in the replicated state.",
           m_state.submissions().size());
     gauge("walkthread_steps_ready", "Steps with tasks that wait for a host.", m_state.ready().size());
-    gauge("walkthread_suspects", "Tasks that may take down the hosts that they run on.",
+    gauge("walkthread_suspects", "Tasks that may crash the hosts that they run on.",
           m_state.crashes().suspects().size());
-    gauge("walkthread_workers", "Workers' lives in the replicated state.", m_state.workers().size());
-    page.add_count("walkthread_log_syncs_total", "Syncs of the log.",
+    gauge("walkthread_workers", "Worker incarnations in the replicated state.", m_state.workers().size());
+    page.add_count("walkthread_log_syncs_total", "fsync calls on the log.",
                    static_cast<double>(m_replica->syncs()));
     page.add(m_commit_times.collect());
     fill_leading(page);
 }
 
-// What is counted since this process began to lead.
+// Metrics that are counted from the start of the current leadership.
 void core_node::fill_leading(figure_page& page) const
 {
-    page.add_gauge("walkthread_advice_waiting", "Questions that wait for a process to ask them.",
+    page.add_gauge("walkthread_advice_waiting", "Advisor queries that wait for a client.",
                    static_cast<double>(m_desk.waiting()));
     page.add_gauge("walkthread_unheard_runs",
-                   "Runs that count as running on workers not heard for longer than a lease.",
+                   "Runs on workers that have been unresponsive for longer than a lease.",
                    m_dispatcher ? static_cast<double>(m_dispatcher->unheard_runs()) : 0.0);
     page.add(m_start_waits.collect());
     page.add(m_advice_times.collect());
@@ -447,22 +449,21 @@
         page.add_count(name, help, static_cast<double>(value));
     };
     count("walkthread_task_starts_total", "Orders to start a task.", c.starts);
-    count("walkthread_task_ends_total", "Ends that workers listed.", c.ends);
-    count("walkthread_task_starts_refused_total", "Orders that a worker refused.", c.refused_starts);
+    count("walkthread_task_ends_total", "Task ends reported by workers.", c.ends);
+    count("walkthread_task_starts_refused_total", "Start orders that a worker rejected.", c.refused_starts);
     count("walkthread_orders_unanswered_total", "Orders without an answer.", c.unanswered_orders);
-    count("walkthread_orders_not_sent_total", "Orders that never left, for want of a connection.",
-          c.unsent_orders);
-    count("walkthread_workers_lost_total", "Workers' lives that were dropped.", c.lost_workers);
-    count("walkthread_workers_restarted_total", "Workers that started again under the id that they had.",
+    count("walkthread_orders_not_sent_total", "Orders not sent for lack of a connection.", c.unsent_orders);
+    count("walkthread_workers_lost_total", "Worker incarnations dropped as lost.", c.lost_workers);
+    count("walkthread_workers_restarted_total", "Workers that restarted under their former id.",
           c.restarted_workers);
-    count("walkthread_tasks_given_up_total", "Tasks given up as they crash the workers that start them.",
+    count("walkthread_tasks_given_up_total", "Poison tasks: failed because they crash their workers.",
           c.tasks_given_up);
-    count("walkthread_advice_questions_total", "Questions to the placement advisor.", c.questions);
+    count("walkthread_advice_questions_total", "Queries to the placement advisor.", c.questions);
     count("walkthread_preemptions_total", "Runs stopped for other work.", c.preemptions);
-    count("walkthread_task_starts_withdrawn_total", "Orders not sent, or not again, as their worker leaves.",
-          c.starts_withdrawn);
+    count("walkthread_task_starts_withdrawn_total",
+          "Start orders not sent or not repeated because their worker leaves.", c.starts_withdrawn);
     count("walkthread_task_starts_before_report_total",
-          "Orders to workers that had not reported to this leader yet.", c.starts_before_report);
+          "Start orders to workers that had not yet reported to this leader.", c.starts_before_report);
 }
 
 } // namespace walkthread
--- a/src/fabric/descriptor_budget.cpp
+++ b/src/fabric/descriptor_budget.cpp
@@ -11,21 +11,23 @@
 namespace
 {
 constexpr std::size_t kept_for_files =
-    32; // standard streams, the loop's three, log and snapshot with their folder: 12, and as many while a
-        // snapshot replaces another; the rest is spare
-constexpr std::size_t least_part = 16; // a quorum's links both ways; fewer connections of a kind serve nobody
-constexpr std::size_t usual_edge = 512;     // a few hundred callers at a time
-constexpr std::size_t usual_replica = 1024; // 350 workers with a look and an order each, and 40 processes
+    32; // 12 for standard streams, the event loop, and log and snapshot with their directory, as many again
+        // while a snapshot is replaced; the rest is spare
+constexpr std::size_t least_part = 16;  // links to a quorum in both directions; a smaller share is useless
+constexpr std::size_t usual_edge = 512; // a few hundred callers at a time
+constexpr std::size_t usual_replica =
+    1024; // 350 workers with a poll and an order connection each, and 40 processes
 
-// Parts of what files leave, in hundredths. A look is kept for each worker and waits there, orders come and
-// go; a worker reports to one process at a time, but after a change of the seeds to the same one.
+// Percentages of the descriptors that files leave. A poll keeps its connection to a worker open while it
+// waits; order connections are short-lived. A worker reports to one process at a time, but after a change of
+// the seeds all workers may report to the same one.
 constexpr std::size_t peers_of_replica = 15;
 constexpr std::size_t callers_of_replica = 25;
 constexpr std::size_t looks_of_replica = 30;
 constexpr std::size_t peers_of_edge = 20;
 constexpr std::size_t hundred = 100;
 
-// Where the limit is enormous, more than this is of no use, and parts stay readable in logs.
+// A higher limit gives no benefit; the cap also keeps the shares readable in logs.
 constexpr std::size_t most_used = 100'000;
 } // namespace
 
@@ -41,8 +43,8 @@
     const descriptor_needs needs = needs_of(uses);
     if (limit < needs.least)
     {
-        return "This process may have " + std::to_string(limit) + " descriptors and needs " +
-               std::to_string(needs.least) + " at least.";
+        return "The limit of " + std::to_string(limit) + " file descriptors is below the minimum of " +
+               std::to_string(needs.least) + ".";
     }
     descriptor_budget out;
     out.files = kept_for_files;
--- a/src/fabric/fabric_node.cpp
+++ b/src/fabric/fabric_node.cpp
@@ -8,8 +8,8 @@
 
 namespace
 {
-constexpr milliseconds watch_tick{150};      // the shortest pause of `leader_watch_settings`
-constexpr milliseconds least_suspension{50}; // shorter ones matter to no lease or patience here
+constexpr milliseconds watch_tick{150};      // the shortest query interval in `leader_watch_settings`
+constexpr milliseconds least_suspension{50}; // shorter ones affect no lease or timeout
 } // namespace
 
 fabric_node::fabric_node(boost::asio::io_context& loop, fabric_settings settings, outside_hooks outside,
@@ -78,24 +78,25 @@
 
 void fabric_node::fill(figure_page& page) const
 {
-    page.add_gauge("walkthread_calls_waiting", "Calls to the leader without an answer yet.",
+    page.add_gauge("walkthread_calls_waiting", "Calls to the leader without a reply yet.",
                    static_cast<double>(m_router.waiting()));
     page.add_count("walkthread_peer_sent_bytes_total", "Bytes sent to other processes.",
                    static_cast<double>(m_mesh.bytes_sent()));
-    page.add_count("walkthread_peer_messages_dropped_total", "Messages dropped as a link's queue was full.",
+    page.add_count("walkthread_peer_messages_dropped_total",
+                   "Messages dropped because a link's queue was full or the link was lost.",
                    static_cast<double>(m_mesh.messages_dropped()));
-    page.add_count("walkthread_peer_links_displaced_total",
-                   "Connections to or from processes closed as there were too many.",
+    page.add_count("walkthread_peer_links_displaced_total", "Links closed because of the limit on links.",
                    static_cast<double>(m_mesh.links_displaced()));
-    page.add_count("walkthread_log_lines_dropped_total", "Log lines dropped for their rate.",
+    page.add_count("walkthread_log_lines_dropped_total", "Log lines dropped by the rate limit.",
                    static_cast<double>(m_log.dropped()));
-    page.add_count("walkthread_leader_changes_total", "Leaders and terms that this process came to follow.",
+    page.add_count("walkthread_leader_changes_total",
+                   "Changes of the leader or its term seen by this process.",
                    static_cast<double>(m_leader_changes));
-    page.add_gauge("walkthread_leader_known", "1 if a leader is known and answers.", connected() ? 1 : 0);
+    page.add_gauge("walkthread_leader_known", "1 if a responsive leader is known.", connected() ? 1 : 0);
     page.add(m_router.outages().collect());
 }
 
-// Says why a process that was well believes nothing that it knew before.
+// Logs a suspension of the machine, which explains why a healthy process lost its leases and timed out calls.
 void fabric_node::note_suspension()
 {
     const duration so_far = suspended_so_far();
--- a/src/fabric/leader_watch.cpp
+++ b/src/fabric/leader_watch.cpp
@@ -20,7 +20,7 @@
     {
         if (m_leader != from)
         {
-            m_asked = {}; // it learns at once that this process is there
+            m_asked = {}; // query it at once, so that it knows this process
         }
         m_leader = from;
         m_term = note.term;
@@ -29,7 +29,7 @@
     }
     if (!note.leader.empty() && note.leader != m_leader && note.term > m_term)
     {
-        // Somebody has seen a newer leader. Calls go there at once; its own answer confirms it.
+        // A peer knows a newer leader. Calls go there at once; the leader's own status confirms it later.
         m_leader = note.leader;
         m_term = note.term;
         m_heard = now;
@@ -58,7 +58,7 @@
     {
         return {m_known.begin(), m_known.end()};
     }
-    // One other, in turn, so that each of them knows whom to tell when it comes to lead.
+    // Also query one other peer in turn, so that each knows which processes to notify when it becomes leader.
     auto other = m_known.upper_bound(m_last_other);
     other = other == m_known.end() ? m_known.begin() : other;
     m_last_other = *other;
--- a/src/fabric/mesh.cpp
+++ b/src/fabric/mesh.cpp
@@ -39,7 +39,7 @@
         });
 }
 
-// A peer whose link gives way opens it again with its next message.
+// An evicted link is opened again with the next message.
 void mesh::core::displace_outgoing()
 {
     if (links.size() < most_links)
@@ -86,14 +86,14 @@
 mesh::~mesh()
 {
     m_core->closed = true;
-    error_code ignored; // it may never have been opened
+    error_code ignored; // the acceptor may never have been opened
     m_core->acceptor.close(ignored);
     m_core->pause.cancel();
     for (auto& [to, link] : m_core->links)
     {
         link->close();
     }
-    m_core->links.clear(); // each link holds the core: the circle ends here
+    m_core->links.clear(); // breaks the reference cycle: each link owns the core
 }
 
 std::string mesh::open(const std::string& bind_to)
--- a/src/fabric/mesh_core.hpp
+++ b/src/fabric/mesh_core.hpp
@@ -34,24 +34,24 @@
 using boost::system::error_code;
 
 inline constexpr milliseconds connect_patience{
-    600};                                         // above one lost packet inside a region, below an election
-inline constexpr milliseconds connect_pause{200}; // after a failed attempt
-inline constexpr int user_timeout_ms = 1200;      // bytes unacknowledged for that long: the link is cut
+    600}; // allows for one lost packet inside a region; shorter than an election
+inline constexpr milliseconds connect_pause{200}; // after a failed or lost connection
+inline constexpr int user_timeout_ms = 1200;      // TCP closes a link with bytes unacknowledged for this long
 inline constexpr std::size_t most_queued_bytes =
-    8U << 20U; // beyond that the peer does not read; one frame always may wait
+    8U << 20U; // a longer queue means that the peer does not read; one frame is always allowed
 inline constexpr std::size_t read_size = 16U << 10U;
 inline constexpr milliseconds answer_after{
-    100}; // a receiver answers what came with one byte, at most that often
+    100}; // a receiver acknowledges data with one byte, at most this often
 inline constexpr milliseconds answer_patience{
-    900}; // a link without an answer for that long is dead, whatever TCP says
+    900}; // without an acknowledgement for this long a link is considered dead
 inline constexpr char answer_byte = '.';
 inline constexpr auto incoming_idle =
-    std::chrono::seconds(30); // every process sends something each 2 s: a connection
-                              // without is dead, and its sender uses another one
+    std::chrono::seconds(30); // every process sends a message at least every 2 s, so a
+                              // silent connection was abandoned by its sender
 
 inline void prepare(tcp::socket& socket)
 {
-    error_code ignored; // an option that cannot be set costs speed only
+    error_code ignored; // the options only improve latency and failure detection
     socket.set_option(tcp::no_delay(true), ignored);
     socket.set_option(asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>(user_timeout_ms),
                       ignored);
@@ -139,7 +139,7 @@
             {
                 if (!cancelled && self->connecting)
                 {
-                    error_code ignored; // the attempt ends with an error of its own
+                    error_code ignored; // the attempt then fails with its own error
                     self->socket.close(ignored);
                 }
             });
@@ -169,7 +169,7 @@
         write();
     }
 
-    // The peer writes nothing but its answers here.
+    // The peer sends nothing but acknowledgements on this connection.
     void watch()
     {
         socket.async_read_some(
@@ -224,7 +224,7 @@
                           });
     }
 
-    // What was queued is old by the time of a new connection: who needs it sends it again.
+    // Drops the queue: its messages would be stale on a new connection, and senders repeat what matters.
     void lose(error_code why)
     {
         ++life;
@@ -238,13 +238,13 @@
         owner->dropped += queue.size();
         queue.clear();
         queued = 0;
-        error_code ignored; // it may be closed already
+        error_code ignored; // may be closed already
         socket.close(ignored);
         if (closed)
         {
             return;
         }
-        connecting = true; // until the pause is over
+        connecting = true; // until the reconnect delay has passed
         timer.expires_after(connect_pause);
         timer.async_wait(
             [self = shared_from_this()](error_code cancelled)
@@ -261,7 +261,7 @@
     {
         closed = true;
         timer.cancel();
-        error_code ignored; // it may be closed already
+        error_code ignored; // may be closed already
         socket.close(ignored);
     }
 
@@ -273,8 +273,8 @@
     std::size_t queued = 0;
     std::string batch;
     std::array<char, 16> scrap{};
-    std::optional<monotonic_time> unanswered; ///< the first write since the last answer
-    monotonic_time used;                      ///< when a message was last given to it
+    std::optional<monotonic_time> unanswered; ///< time of the first write since the last acknowledgement
+    monotonic_time used;                      ///< when a message was last queued
     std::uint64_t life = 0;
     bool connected = false;
     bool connecting = false;
@@ -296,16 +296,16 @@
     incoming(const incoming&) = delete;
     incoming& operator=(const incoming&) = delete;
 
-    // The read under way fails, which ends it.
+    // The pending read fails, which ends the connection.
     void close()
     {
         owner->received.erase(this);
-        error_code ignored; // it may be closed already
+        error_code ignored; // may be closed already
         socket.close(ignored);
         idle.cancel();
     }
 
-    // A connection that fell silent for good would hold a descriptor until this process ends.
+    // A connection that stays silent would hold its descriptor until this process exits.
     void watch_idle()
     {
         idle.expires_after(incoming_idle);
@@ -322,12 +322,12 @@
                     self->watch_idle();
                     return;
                 }
-                error_code ignored; // it may be closed already
+                error_code ignored; // may be closed already
                 self->socket.close(ignored);
             });
     }
 
-    // Tells the sender that the link lives; it cannot trust TCP alone where a cut is one way.
+    // Acknowledges received data. In a one-way partition the sender cannot rely on TCP to detect a dead link.
     void answer_soon()
     {
         if (answering)
@@ -342,9 +342,9 @@
                 self->answering = false;
                 if (!cancelled && !self->owner->closed && self->socket.is_open())
                 {
-                    asio::async_write(
-                        self->socket, asio::buffer(&answer_byte, 1),
-                        [self](error_code /*failed*/, std::size_t /*bytes*/) {}); // the read ends too
+                    asio::async_write(self->socket, asio::buffer(&answer_byte, 1),
+                                      [self](error_code /*failed*/, std::size_t /*bytes*/) {
+                                      }); // on failure the read fails too
                 }
             });
     }
@@ -360,7 +360,7 @@
                                        self->read();
                                        return;
                                    }
-                                   error_code ignored; // it may be closed already
+                                   error_code ignored; // may be closed already
                                    self->socket.close(ignored);
                                    self->idle.cancel();
                                });
@@ -385,7 +385,7 @@
             auto message = decode<mesh_message>(*value_of(body));
             if (!ok(message))
             {
-                return false; // another version or a foreign speaker: the connection ends
+                return false; // another version or a foreign client: closes the connection
             }
             if (auto* greeting = std::get_if<peer_greeting>(&value_of(message)))
             {
--- a/src/fabric/pooled_client.cpp
+++ b/src/fabric/pooled_client.cpp
@@ -9,7 +9,7 @@
 
 namespace
 {
-constexpr milliseconds look_every{25}; // calls that waited for too long are told that late at most
+constexpr milliseconds look_every{25}; // resolution of deadlines
 constexpr duration prune_every = seconds(5);
 } // namespace
 
@@ -74,7 +74,7 @@
                });
 }
 
-// The connection is free before the handler runs: what it sends next may use it.
+// Releases the connection before calling the handler, so that a request sent by the handler can use it.
 void pooled_client::finish(pooled_id connection, const web_answer_handler& handler, const web_result& outcome)
 {
     const auto failed_as = [&outcome](web_failure failure)
@@ -163,10 +163,10 @@
                    static_cast<double>(m_pool.waiting()));
     page.add_count(prefix + "connections_opened_total", "Connections opened.", static_cast<double>(m_opened));
     page.add_count(prefix + "connections_replaced_total",
-                   "Idle connections closed as another address needed one.", static_cast<double>(m_replaced));
-    page.add_count(prefix + "not_sent_total", "Calls that got no connection.",
+                   "Idle connections closed in favour of another address.", static_cast<double>(m_replaced));
+    page.add_count(prefix + "not_sent_total", "Calls not sent for lack of a connection.",
                    static_cast<double>(m_not_sent));
-    page.add_count(prefix + "unreachable_total", "Calls whose address took no connection.",
+    page.add_count(prefix + "unreachable_total", "Calls whose address accepted no connection.",
                    static_cast<double>(m_unreachable));
 }
 
--- a/src/fabric/replica_host.cpp
+++ b/src/fabric/replica_host.cpp
@@ -13,10 +13,10 @@
 
 namespace
 {
-constexpr milliseconds write_again{200}; // a full disk is tried again after that
+constexpr milliseconds write_again{200}; // after a transient failure, such as a full disk
 }
 
-/// The disk's thread: runs one job after the other.
+/// The disk thread: runs one job at a time.
 struct replica_host::disk
 {
     disk()
@@ -142,8 +142,8 @@
         std::vector<replica_envelope> messages = std::exchange(output.messages, {});
         for (replica_envelope& envelope : messages)
         {
-            // A leader's appends may go before its own disk has them; anything that promises waits for the
-            // disk.
+            // A leader may send append requests before its own entries are durable; messages that
+            // acknowledge or promise anything wait for the disk.
             const bool may_go =
                 !sync || (!output.state && std::holds_alternative<append_request>(envelope.message));
             if (may_go)
@@ -221,7 +221,7 @@
         m_hooks.send(envelope);
     }
     m_group->core().synced(monotonic_now());
-    store_snapshot_if_due(); // before the next write: under load there is always one
+    store_snapshot_if_due(); // before the next write, as under load a write is always pending
     pump();
 }
 
--- a/src/fabric/web_client.cpp
+++ b/src/fabric/web_client.cpp
@@ -22,13 +22,13 @@
 using tcp = asio::ip::tcp;
 
 constexpr milliseconds connect_patience{
-    700}; // a new connection takes a few ms; a lost first packet is not waited for
-constexpr duration own_delay = milliseconds(200); // a time-out noticed that late: this process did not run,
-                                                  // which tells nothing of the peer
-constexpr int user_timeout_ms = 1500;             // unacknowledged bytes: the peer or the link is gone
-constexpr std::size_t most_answer_bytes = 4U << 20U; // a worker's list of 500 ends is about 60 KB
+    700}; // connecting takes a few ms; does not wait for the retransmission of a lost SYN
+constexpr duration own_delay = milliseconds(200); // a timer that fires later shows that this process did not
+                                                  // run, so the timeout says nothing about the peer
+constexpr int user_timeout_ms = 1500; // TCP closes a connection with bytes unacknowledged for this long
+constexpr std::size_t most_answer_bytes = 4U << 20U; // a worker's list of 500 task ends is about 60 KB
 
-// Whether a connection failed for want of something on this machine, so that it tells nothing of the peer.
+// Whether a connection failed because of this machine, so that the failure says nothing about the peer.
 bool lacks_resources(const beast::error_code& failed)
 {
     return failed == asio::error::no_descriptors || failed == asio::error::no_buffer_space ||
@@ -107,7 +107,7 @@
     {
         if (m_sent)
         {
-            return web_failure::unanswered; // on the connection before
+            return web_failure::unanswered; // sent on the previous connection
         }
         const bool late = failed == beast::error::timeout &&
                           asio::steady_timer::clock_type::now() > m_connect_deadline + own_delay;
@@ -116,7 +116,8 @@
 
     void attempt()
     {
-        m_deadline = asio::steady_timer::clock_type::now() + m_current.patience; // of the stream's own timer
+        m_deadline =
+            asio::steady_timer::clock_type::now() + m_current.patience; // in the clock of the stream's timer
         m_reused = m_open;
         if (m_open)
         {
@@ -149,7 +150,7 @@
 
     void prepare_socket()
     {
-        beast::error_code ignored; // an option that cannot be set costs speed only
+        beast::error_code ignored; // the options only improve latency and failure detection
         m_stream->socket().set_option(tcp::no_delay(true), ignored);
         const asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT> timeout(user_timeout_ms);
         m_stream->socket().set_option(timeout, ignored);
@@ -209,7 +210,7 @@
                          });
     }
 
-    // An answer to the question is the answer if it is of another process: the request does not go there.
+    // If another process answers the probe, its response is returned and the request is not sent.
     void take(web_answer answer)
     {
         if (!m_asks || !m_current.request.recipient->is_meant(answer))
@@ -219,7 +220,7 @@
         }
         if (!m_open)
         {
-            finish(web_failure::unanswered); // the next try asks again
+            finish(web_failure::unanswered); // the next attempt probes again
             return;
         }
         m_known_as = m_current.request.recipient->name;
@@ -241,7 +242,7 @@
 
     void drop_connection()
     {
-        beast::error_code ignored; // it may be closed already
+        beast::error_code ignored; // may be closed already
         m_stream->socket().close(ignored);
         m_stream.emplace(m_loop);
         m_buffer.clear();
@@ -270,13 +271,13 @@
     waiting_request m_current;
     std::chrono::steady_clock::time_point m_deadline;
     std::chrono::steady_clock::time_point m_connect_deadline;
-    std::string m_known_as; ///< the recipient that has answered on the present connection
-    bool m_asks = false;    ///< the question that goes ahead of a request is under way
+    std::string m_known_as; ///< the recipient that has identified itself on the current connection
+    bool m_asks = false;    ///< a probe is in flight, ahead of the request
     bool m_busy = false;
     bool m_open = false;
     bool m_reused = false;
     bool m_repeated = false;
-    bool m_sent = false; ///< a byte of the present request may have left
+    bool m_sent = false; ///< a byte of the current request may have been sent
     bool m_closed = false;
 };
 } // namespace
--- a/src/fabric/web_listener.cpp
+++ b/src/fabric/web_listener.cpp
@@ -71,7 +71,7 @@
     asio::steady_timer pause;
     web_bounds bounds;
     web_handler handler;
-    std::list<session*> idle; ///< without a request, longest first
+    std::list<session*> idle; ///< without a request, longest idle first
     bool winding_down = false;
     std::size_t sessions = 0;
     std::size_t busy = 0;
@@ -116,7 +116,7 @@
         }
     }
 
-    // The read under way fails, which ends the session.
+    // The pending read fails, which ends the session.
     void give_way()
     {
         set_idle(false);
@@ -124,7 +124,7 @@
         stream.socket().close(ignored);
     }
 
-    // A short wait at a time, so that idle connections notice that the listener winds down.
+    // Waits for the first byte of a request, up to the idle timeout.
     void wait_for_request()
     {
         set_busy(false);
@@ -199,7 +199,7 @@
     {
         keep_alive = false;
         write(web_answer{
-            status, R"({"error":{"detail":"The request cannot be read or is too large."}})", {}, {}, false});
+            status, R"({"error":{"detail":"The request is malformed or too large."}})", {}, {}, false});
     }
 
     void write(web_answer answer)
@@ -246,7 +246,7 @@
     std::optional<std::list<session*>::iterator> idle_place;
 };
 
-// Whether one more connection may be kept; the one that is idle for longest gives way to it.
+// Returns whether another connection can be accepted; closes the one that has been idle longest if necessary.
 bool web_listener::core::make_room()
 {
     if (sessions < bounds.connections)
@@ -290,7 +290,7 @@
             }
             if (self->make_room())
             {
-                beast::error_code ignored; // an option that cannot be set costs speed only
+                beast::error_code ignored; // the option only improves latency
                 socket.set_option(tcp::no_delay(true), ignored);
                 std::make_shared<session>(self, std::move(socket))->wait_for_request();
             }
--- a/tests/src/unit-connections.cpp
+++ b/tests/src/unit-connections.cpp
@@ -21,7 +21,7 @@
     return "10.0.0.1:" + std::to_string(worker);
 }
 
-// A pool with workers that answer after a while, all in virtual time, and what must hold of each grant.
+// Drives a pool in virtual time and checks its invariants after each step.
 struct pool_run
 {
     struct use
@@ -155,7 +155,7 @@
     run.want("a", call_need::usual, milliseconds(300));
     run.now += milliseconds(30);
     run.expire();
-    BOOST_TEST(run.opened == 2U); // no more than there may be
+    BOOST_TEST(run.opened == 2U); // the limit for one address is reached
     run.finish(run.busy().front(), true);
     BOOST_TEST(run.pool.waiting() == 0U);
 }
@@ -187,7 +187,7 @@
     run.finish(run.busy().front(), true);
     BOOST_TEST(run.uses.begin()->second.address == "c");
     run.finish(run.busy().front(), true);
-    BOOST_TEST(run.uses.begin()->second.address == "b"); // it came before the second call to a
+    BOOST_TEST(run.uses.begin()->second.address == "b"); // queued before the second call to a
 }
 
 BOOST_AUTO_TEST_CASE(a_call_that_waits_for_too_long_is_given_up_and_never_granted)
@@ -266,8 +266,8 @@
     }
 }
 
-// One look at each worker at a time, which waits a second for news: with fewer connections than workers, each
-// worker is looked at in turn, none is forgotten.
+// Each worker has one pending poll, which the worker answers after a second. With fewer connections than
+// workers, the connections must go round so that no worker is starved.
 BOOST_AUTO_TEST_CASE(looks_at_more_workers_than_connections_go_round)
 {
     for (const std::size_t workers : {100U, 1100U, 4500U})
@@ -314,7 +314,7 @@
 }
 
 // ---------------------------------------------------------------------------------------------------------
-// The budget
+// Descriptor budget
 // ---------------------------------------------------------------------------------------------------------
 
 BOOST_AUTO_TEST_CASE(parts_never_sum_to_more_than_the_limit)
--- a/tests/src/unit-fabric.cpp
+++ b/tests/src/unit-fabric.cpp
@@ -21,7 +21,7 @@
     return monotonic_time{seconds(100)} + milliseconds(ms);
 }
 
-// A port of the loopback that is free now.
+// A loopback port that is currently free.
 std::uint16_t free_port()
 {
     asio::io_context loop;
@@ -36,7 +36,7 @@
 } // namespace
 
 // ---------------------------------------------------------------------------------------------------------
-// Who leads
+// Leader discovery
 // ---------------------------------------------------------------------------------------------------------
 
 BOOST_AUTO_TEST_CASE(everybody_known_is_asked_until_one_says_that_it_leads)
@@ -45,7 +45,7 @@
     BOOST_TEST(watch.whom_to_ask(at_ms(0)).size() == 2U);
     BOOST_TEST(watch.whom_to_ask(at_ms(50)).empty());
     watch.take("a", {false, "c", 3, {"a", "b", "c"}}, at_ms(60));
-    BOOST_TEST(watch.leader() == "c"); // heard of; its own answer confirms it
+    BOOST_TEST(watch.leader() == "c"); // reported by a peer; its own status confirms it
     BOOST_TEST(watch.known().size() == 3U);
     watch.take("c", {true, "c", 3, {}}, at_ms(70));
     BOOST_TEST(watch.leader() == "c");
@@ -62,7 +62,7 @@
     BOOST_TEST(watch.leader() == "b");
 }
 
-// Whoever comes to lead uses the processes that may ask the advisor from their first message on.
+// A new leader can use an advisor client only after the client's first leader query.
 BOOST_AUTO_TEST_CASE(a_new_leader_is_asked_at_once)
 {
     leader_watch watch({"a", "b"}, {});
@@ -74,7 +74,8 @@
     BOOST_TEST((std::find(asked.begin(), asked.end(), "b") != asked.end()));
 }
 
-// A core without power for seven seconds: callers were held until shortly before their time budgets ended.
+// Guards against holding calls until their timeout in an outage of several seconds, such as a power loss of
+// all replicas.
 BOOST_AUTO_TEST_CASE(calls_are_held_while_an_election_may_bring_a_leader_and_refused_later)
 {
     leader_outage outage(at_ms(0));
@@ -97,11 +98,12 @@
     BOOST_TEST(outage.come_back_s(at_ms(3500), 0.0, patient) == 1);
     BOOST_TEST(outage.come_back_s(at_ms(3500), 0.99, patient) == 4);
     BOOST_TEST(outage.come_back_s(at_ms(60'000), 1.0, patient) == 5);
-    BOOST_TEST(outage.come_back_s(at_ms(60'000), 0.99, milliseconds(2600)) == 2); // while it would still wait
+    BOOST_TEST(outage.come_back_s(at_ms(60'000), 0.99, milliseconds(2600)) ==
+               2); // within the caller's remaining timeout
     BOOST_TEST(outage.come_back_s(at_ms(60'000), 0.99, milliseconds(100)) == 1);
 }
 
-// What was sent to a leader may have been kept: it is never told "not run".
+// A call that was sent to a leader may have taken effect, so it must not be reported as "not run".
 BOOST_AUTO_TEST_CASE(only_calls_that_were_not_sent_are_refused_without_a_leader)
 {
     asio::io_context loop;
@@ -127,7 +129,7 @@
     router.call(submit_call{}, milliseconds(60'000), listen("held"));
     router.call(get_catalogue_call{}, milliseconds(60'000), listen("operator"));
     BOOST_TEST(told.empty());
-    const auto run_until = [&](std::size_t count) // the time is only a bound for a hanging test
+    const auto run_until = [&](std::size_t count) // the time limit only stops a hanging test
     {
         for (int i = 0; i < 400 && told.size() < count; ++i)
         {
@@ -136,7 +138,7 @@
     };
     run_until(1);
     BOOST_TEST((told == std::vector<std::string>{"held not run"}));
-    router.call(state_call{}, milliseconds(60'000), listen("late")); // answered before `call` returns
+    router.call(state_call{}, milliseconds(60'000), listen("late")); // the reply comes before `call` returns
     BOOST_TEST((told == std::vector<std::string>{"held not run", "late not run"}));
     run_until(3);
     BOOST_TEST((told == std::vector<std::string>{"held not run", "late not run", "sent open"}));
@@ -144,7 +146,7 @@
 }
 
 // ---------------------------------------------------------------------------------------------------------
-// Questions to the advisor
+// Advisor queries
 // ---------------------------------------------------------------------------------------------------------
 
 namespace
@@ -214,7 +216,7 @@
     put(false);
     for (int i = 0; i < 20 && desk.normal_waiting() > 0; ++i)
     {
-        put(true); // there is always an urgent one
+        put(true); // there is always an urgent query
         now += milliseconds(100);
         desk.note_asker("a", now);
         asked.back().second({true, {}, {}, 0});
@@ -234,7 +236,8 @@
     BOOST_TEST(answers == 1);
 }
 
-// Two processes that can be heard but not reached were asked in turn for ever, beside one that answers.
+// Guards against alternating forever between two clients that report but cannot be reached, while a third one
+// would respond.
 BOOST_FIXTURE_TEST_CASE(a_question_reaches_the_one_process_that_answers, desk_fixture)
 {
     constexpr milliseconds patience{2500};
@@ -259,8 +262,7 @@
     BOOST_TEST(asked.size() <= 3U);
 }
 
-// Each question of a gang cost the patience with a process that cannot be reached, whenever its pause was
-// over.
+// Guards against waiting for the timeout of an unreachable client again each time its back-off ends.
 BOOST_FIXTURE_TEST_CASE(a_process_that_answers_is_asked_before_one_that_did_not, desk_fixture)
 {
     std::size_t lost = 0;
@@ -328,13 +330,13 @@
     BOOST_TEST(heard_from == a);
 }
 
-// akp-walk trouble-1: after a cut one way the connection stayed open and carried nothing until a restart.
+// Guards against a one-way partition after which a link stays open but delivers nothing until a restart.
 BOOST_AUTO_TEST_CASE(a_link_that_gets_no_answer_is_opened_again)
 {
     asio::io_context loop;
     const std::uint16_t port = free_port();
     asio::ip::tcp::acceptor silent(loop, {asio::ip::address_v4::loopback(), port});
-    std::vector<asio::ip::tcp::socket> taken; // connections that are taken and never read nor answered
+    std::vector<asio::ip::tcp::socket> taken; // accepted connections that are never read or acknowledged
     std::function<void()> accept = [&]
     {
         silent.async_accept(
@@ -448,7 +450,7 @@
     open();
     const auto channel = web_channel::make(loop, address);
     BOOST_REQUIRE(post(*channel, "a").has_value());
-    listener->wind_down(); // the next answer ends the connection
+    listener->wind_down(); // the next response closes the connection
     BOOST_REQUIRE(post(*channel, "b").has_value());
     BOOST_REQUIRE(post(*channel, "c").has_value());
     BOOST_TEST(taken == 3U);
@@ -469,7 +471,7 @@
     loop.run_for(seconds(20));
     BOOST_TEST(called);
     BOOST_REQUIRE(!ok(out));
-    BOOST_TEST((error_of(out) == web_failure::unreachable)); // nobody can have carried it out
+    BOOST_TEST((error_of(out) == web_failure::unreachable)); // certainly not executed
 }
 
 // ---------------------------------------------------------------------------------------------------------
--- a/tests/src/unit-recipients.cpp
+++ b/tests/src/unit-recipients.cpp
@@ -9,10 +9,10 @@
 using namespace walkthread;
 namespace asio = boost::asio;
 
-// A worker started again under its old id and at its old address. The connection of the last look had broken,
-// so the next one went out over a new connection, with what the former process was to forget, and the new one
-// forgot its own. What is meant for one process goes only over a connection that this process has answered
-// on.
+// Guards against a request reaching the wrong incarnation of a worker. A worker restarts with the same id and
+// address; the leader's next poll goes over a new connection and confirms task ends of the former process,
+// and the new process discards its own. A request for one process may only use a connection on which that
+// process has identified itself.
 
 namespace
 {
@@ -20,9 +20,9 @@
 {
     asio::io_context loop;
     std::string address;
-    std::unique_ptr<asio::io_context> process; // what ends with it: its connections
+    std::unique_ptr<asio::io_context> process; // destroyed together with its connections
     std::unique_ptr<web_listener> listener;
-    std::vector<std::string> seen; // bodies, with the process that got them
+    std::vector<std::string> seen; // bodies with the name of the receiving process
     std::shared_ptr<web_channel> channel;
 
     fixture()
@@ -32,7 +32,7 @@
         probe.close();
         channel = web_channel::make(loop, address);
     }
-    // A process begins to listen there; the one before it, if any, is gone with its connections.
+    // Starts a process at the address. A previous one is destroyed with its connections.
     void run_process(const std::string& name)
     {
         listener.reset();
@@ -94,6 +94,6 @@
     BOOST_TEST(send_to("p1") == "p2");
     BOOST_TEST(send_to("p1") == "p2");
     BOOST_TEST(send_to("p2") == "p2");
-    BOOST_TEST(send_to("p1") == "p2"); // one that was queued before the new process was known
+    BOOST_TEST(send_to("p1") == "p2"); // as for a request queued before the restart was known
     BOOST_TEST((seen == bodies{"p2 who", "p2 who", "p2 who", "p2 confirm", "p2 who"}));
 }
