--- a/include/walkthread/fabric/fabric_node.hpp
+++ b/include/walkthread/fabric/fabric_node.hpp
@@ -101,7 +101,7 @@
     }
     void note_suspension();
     void note(std::string_view event, std::string_view subject, std::initializer_list<log_field> fields);
-    void answer_call(const std::string& from, const call_note& note);
+    void answer_call(const std::string& from, const call_note& message);
     /// @brief Sets the leader that calls are sent to; empty for unknown. Each change of the leader or its
     /// term is logged, also a change without an outage in between.
     void follow(const std::string& leader);
--- a/src/fabric/core_members.cpp
+++ b/src/fabric/core_members.cpp
@@ -36,13 +36,13 @@
 void core_node::take(const std::string& from, mesh_message message)
 {
     const monotonic_time now = monotonic_now();
-    if (auto* note = std::get_if<replica_note>(&message))
+    if (auto* encoded = std::get_if<replica_note>(&message))
     {
-        auto body = decode<replica_message>(note->message);
+        auto body = decode<replica_message>(encoded->message);
         if (ok(body))
         {
             m_replica->receive(
-                replica_envelope{workload_group, note->from, note->to, std::move(value_of(body))});
+                replica_envelope{workload_group, encoded->from, encoded->to, std::move(value_of(body))});
         }
     }
     else if (auto* question = std::get_if<leader_question>(&message))
@@ -181,9 +181,9 @@
 void core_node::ask_to_join(monotonic_time now)
 {
     const replica& core = m_replica->group().core();
-    const bool heard =
+    const bool leader_in_contact =
         core.role() == replica_role::leader || now - core.last_leader_contact() < m_times.member_behind;
-    const bool served = core.members().is_member(core.self()) && heard;
+    const bool served = core.members().is_member(core.self()) && leader_in_contact;
     if (served || m_stopping || now - m_join_asked < m_times.join_every)
     {
         return;
--- a/src/fabric/fabric_node.cpp
+++ b/src/fabric/fabric_node.cpp
@@ -151,9 +151,9 @@
 
 void fabric_node::take(const std::string& from, mesh_message message)
 {
-    if (auto* note = std::get_if<leader_note>(&message))
+    if (auto* status = std::get_if<leader_note>(&message))
     {
-        m_watch.take(from, *note, monotonic_now());
+        m_watch.take(from, *status, monotonic_now());
         ask_around(monotonic_now());
     }
     else if (auto* reply = std::get_if<reply_note>(&message))
@@ -166,10 +166,10 @@
     }
 }
 
-void fabric_node::answer_call(const std::string& from, const call_note& note)
+void fabric_node::answer_call(const std::string& from, const call_note& message)
 {
-    auto body = decode<service_call>(note.body);
-    const auto answer = [this, alive = m_alive, from, number = note.number](service_reply reply)
+    auto body = decode<service_call>(message.body);
+    const auto answer = [this, alive = m_alive, from, number = message.number](service_reply reply)
     {
         if (*alive)
         {
