--- a/src/ctl/losses_command.cpp
+++ b/src/ctl/losses_command.cpp
@@ -41,12 +41,12 @@
     {
         const std::string cause(name_of(item.cause));
         const std::string second = std::to_string(item.second);
-        ++by_queue[item.queue.empty() ? "(never taken)" : item.queue][cause];
+        ++by_queue[item.queue.empty() ? "(not accepted)" : item.queue][cause];
         ++by_second[std::string(second.size() < 6 ? 6 - second.size() : 0, ' ') + second][cause];
     }
     std::cout << report.losses.size() << " of " << report.submissions
               << " submissions were late or unserved; " << report.unreadable
-              << " lines were left out as unreadable.\n";
+              << " unreadable lines were skipped.\n";
     print_counts("By queue:", by_queue);
     print_counts("By second:", by_second);
 }
--- a/src/ctl/losses_command.hpp
+++ b/src/ctl/losses_command.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// walkthreadctl losses: submissions that were late or unserved, by cause, from the logs of several processes.
+// walkthreadctl losses: counts late and unserved submissions by cause, from the logs of several processes.
 
 #include <string>
 #include <vector>
@@ -8,8 +8,10 @@
 namespace walkthread::ctl
 {
 
-/// @brief Runs the command. @param words the log files, `-` for standard input
-/// @return 0, 1 where a file cannot be read, 2 without any log
+/// @brief Reads the logs and prints the losses.
+/// @param arguments the log files, `-` for standard input
+/// @param as_table whether to print tables instead of JSON
+/// @return the exit code: 0, 1 if a file cannot be read, 2 if no file is given
 int run_losses(const std::vector<std::string>& words, bool as_table);
 
 } // namespace walkthread::ctl
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -41,9 +41,9 @@
 constexpr std::chrono::milliseconds wait_step{500};
 
 constexpr const char* usage = R"(Commands:
-  template put NAME FILE            make or change a template
+  template put NAME FILE            create or change a template
   template list
-  team put NAME FILE                make or change a team and its quota
+  team put NAME FILE                create or change a team and its quota
   team list
   config submit NAME FILE           submit or change a configuration
   config list | config get NAME
@@ -51,15 +51,15 @@
   config run NAME                   run a batch or gang configuration once more
   jobs list | jobs cancel ID...
   jobs wait ID...                   wait until jobs have ended
-  explain ID                        why a job waits, runs where it runs, or stopped
+  explain ID                        why a job waits, was placed on its hosts, or stopped
   timeline [job ID | host ID | request ID]
   hosts list | hosts drain HALL ID | hosts return HALL ID
   groups                            leaders, members and lag
   members replace NODE              replace a node that lost its disk
   status                            whether this process is ready
-  replay TRACE [POLICY...]          replay a trace through the decisions; needs no cell
-  story ID LOG...                   what logs say about a submission on the users' platform; needs no cell
-  losses LOG...                     submissions that were late or unserved, by cause, from logs; needs no cell
+  replay TRACE [POLICY...]          simulate scheduling of a recorded trace; needs no cell
+  story ID LOG...                   log events of a submission on the users' platform; needs no cell
+  losses LOG...                     late and unserved submissions by cause, from logs; needs no cell
   hash                              print the SHA-256 of a token read from standard input
 FILE may be - for standard input.)";
 
@@ -91,19 +91,20 @@
     TCLAP::CmdLine line(std::string("walkthread operators' command line\n\n") + usage, ' ', "0.1.0");
     TCLAP::ValueArg<std::string> address("a", "address", "ip:port of any process", false, "127.0.0.1:8100",
                                          "address", line);
-    TCLAP::ValueArg<std::string> token("t", "token-file", "File with the token; WALKTHREAD_TOKEN otherwise",
+    TCLAP::ValueArg<std::string> token("t", "token-file", "File with the token; default: $WALKTHREAD_TOKEN",
                                        false, "", "file", line);
-    TCLAP::ValueArg<std::string> request("r", "request-id", "Id that makes a resend safe; random otherwise",
-                                         false, "", "id", line);
+    TCLAP::ValueArg<std::string> request(
+        "r", "request-id", "Id that makes retries idempotent; random by default", false, "", "id", line);
     TCLAP::ValuesConstraint<std::string>* forms = nullptr;
     words allowed{"table", "json"};
     TCLAP::ValuesConstraint<std::string> constraint(allowed);
     forms = &constraint;
-    TCLAP::ValueArg<std::string> output("o", "output", "How to print", false, "table", forms, line);
-    TCLAP::ValueArg<std::string> authority("", "ca", "Certificate of the authority; means TLS", false, "",
-                                           "file", line);
+    TCLAP::ValueArg<std::string> output("o", "output", "Output format", false, "table", forms, line);
+    TCLAP::ValueArg<std::string> authority("", "ca", "CA certificate; implies --tls", false, "", "file",
+                                           line);
     TCLAP::SwitchArg tls("", "tls", "Connect with TLS", line);
-    TCLAP::UnlabeledMultiArg<std::string> command("command", "Command and its words", true, "words", line);
+    TCLAP::UnlabeledMultiArg<std::string> command("command", "Command and its arguments", true, "words",
+                                                  line);
     line.parse(argc, argv);
     options out;
     out.connection.address = address.getValue();
@@ -168,7 +169,7 @@
     return exit_good;
 }
 
-// Reads a JSON body and adds the request id to it if it has none.
+// Reads a JSON body from a file or standard input; adds the request id if it has none.
 std::string body_from(const options& given, const std::string& path)
 {
     std::ostringstream text;
@@ -414,7 +415,7 @@
     {
         return one->second.run(given);
     }
-    std::cerr << "Unknown command, or words are missing.\n" << usage << '\n';
+    std::cerr << "Unknown command or missing arguments.\n" << usage << '\n';
     return exit_usage;
 }
 
--- a/src/ctl/replay_command.cpp
+++ b/src/ctl/replay_command.cpp
@@ -48,7 +48,7 @@
     return out;
 }
 
-// One line a figure and one column a policy, since there are more figures than fit side by side.
+// One row per metric and one column per policy: there are too many metrics for one line.
 json transposed(const std::vector<json>& reports)
 {
     json rows = json::array();
@@ -92,7 +92,7 @@
         const std::optional<scheduler_settings> settings = policy_by_name(policy);
         if (!settings)
         {
-            std::cerr << "No policy is called " << policy << ".\n";
+            std::cerr << "Unknown policy: " << policy << ".\n";
             return exit_usage;
         }
         reports.push_back(to_json(replay(value_of(recorded), policy, *settings)));
--- a/src/ctl/replay_command.hpp
+++ b/src/ctl/replay_command.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// walkthreadctl replay: a recorded trace through the real decisions, in virtual time.
+// walkthreadctl replay: runs the scheduler on a recorded trace in simulated time.
 
 #include <string>
 #include <vector>
@@ -8,9 +8,11 @@
 namespace walkthread::ctl
 {
 
-/// @brief Replays a trace with one or more policies and prints what came of it.
-/// @param words the trace, then policies; "walkthread" alone if none is named
-/// @return 0, 1 for bad words or a bad trace, 5 if a stated outcome was missed
+/// @brief Replays a trace with one or more policies and prints the results.
+/// @param arguments the trace file, then policies: "walkthread" by default, "all" for every policy
+/// @param as_table whether to print a table instead of JSON
+/// @return the exit code: 0, 1 for an unknown policy or an invalid trace, 5 if an outcome that the trace
+/// expects was missed
 int run_replay(const std::vector<std::string>& words, bool as_table);
 
 } // namespace walkthread::ctl
--- a/src/ctl/story_command.cpp
+++ b/src/ctl/story_command.cpp
@@ -52,7 +52,7 @@
 {
     if (words.size() < 2 || !parse_submission_id(words.front()))
     {
-        std::cerr << "story takes a submission's id (16 hexadecimal digits) and log files.\n";
+        std::cerr << "story takes a submission id (16 hexadecimal digits) and log files.\n";
         return exit_usage;
     }
     story found;
@@ -69,7 +69,7 @@
     conclude(found);
     if (found.lines.empty())
     {
-        std::cerr << "Nothing is logged about " << words.front() << ".\n";
+        std::cerr << "No log lines found for " << words.front() << ".\n";
         return exit_nothing;
     }
     as_table ? print_table(found) : print_json(found);
--- a/src/ctl/story_command.hpp
+++ b/src/ctl/story_command.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// walkthreadctl story: one submission's lines from the logs of several processes, in order.
+// walkthreadctl story: merges the log lines about one submission from several processes, in order.
 
 #include <string>
 #include <vector>
@@ -8,9 +8,11 @@
 namespace walkthread::ctl
 {
 
-/// @brief Prints what was decided about a submission, from log files of any processes.
-/// @param words the submission's id, then log files; `-` for standard input
-/// @return 0, 1 for bad words or a file that cannot be read, 2 if nothing is logged about it
+/// @brief Prints the events of a submission and the conclusions drawn from them.
+/// @param arguments the submission id, then log files of any processes; `-` for standard input
+/// @param as_table whether to print text instead of JSON
+/// @return the exit code: 0, 1 for invalid arguments or an unreadable file, 2 if no line mentions the
+/// submission
 int run_story(const std::vector<std::string>& words, bool as_table);
 
 } // namespace walkthread::ctl
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -43,8 +43,9 @@
 {
     TCLAP::CmdLine line("walkthread daemon: schedules tasks and routes requests", ' ', "0.1.0");
     TCLAP::ValueArg<std::string> path("s", "settings", "TOML file with the settings", true, "", "file", line);
-    TCLAP::SwitchArg check("", "check-settings", "Check the settings, print every error, and end", line);
-    TCLAP::SwitchArg init("", "init-cell", "Found a new cell: allowed once, with an empty data folder", line);
+    TCLAP::SwitchArg check("", "check-settings", "Check the settings, print every error, and exit", line);
+    TCLAP::SwitchArg init("", "init-cell", "Create a new cell; allowed once, with an empty data folder",
+                          line);
     line.parse(argc, argv);
     return {path.getValue(), check.getValue(), init.getValue()};
 }
@@ -83,7 +84,7 @@
     if (ok(folder) && init_cell && value_of(folder)->identity().incarnation != incarnation_id{1})
     {
         return storage_error{storage_code::already_formatted,
-                             "The folder has an identity; no cell can be founded."};
+                             "The data folder already has an identity; a new cell needs an empty one."};
     }
     return folder;
 }
@@ -133,7 +134,7 @@
         }
         if (given.check)
         {
-            std::cout << "The settings are good.\n";
+            std::cout << "The settings are valid.\n";
             return exit_good;
         }
         setup_logs(value_of(config).log_level, value_of(config).log_file);
--- a/src/settings/reader.cpp
+++ b/src/settings/reader.cpp
@@ -164,7 +164,7 @@
 
 socket_address table_reader::address(const std::string& key, bool required)
 {
-    constexpr const char* allowed = "an IP number and a port, such as \"10.1.0.4:9000\"";
+    constexpr const char* allowed = "an IP address and a port, such as \"10.1.0.4:9000\"";
     const toml::node* node = find(key);
     if (node == nullptr)
     {
@@ -189,7 +189,7 @@
     const std::string value = text(key, "");
     if (!is_hash(value))
     {
-        fail(key, value.empty() ? "" : "no hash", allowed);
+        fail(key, value.empty() ? "" : "not a SHA-256", allowed);
     }
     return value;
 }
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -138,7 +138,8 @@
     }
     if (t.endpoint_staleness < 2 * t.feed || t.config_staleness < 2 * t.feed)
     {
-        timing.fail("feed_ms", std::to_string(t.feed.count()), "at most half of either staleness");
+        timing.fail("feed_ms", std::to_string(t.feed.count()),
+                    "at most half of config_staleness_ms and of endpoint_staleness_ms");
     }
     timing.finish();
 }
--- a/tests/src/unit-decoding.cpp
+++ b/tests/src/unit-decoding.cpp
@@ -14,8 +14,8 @@
 using namespace walkthread::platform;
 using nlohmann::json;
 
-// Whatever comes from outside may be of another writer: cut short, of other types, much too long, or no JSON
-// at all. Each decoder answers with a value that holds what its users rely on, or with an error.
+// Bodies from outside may be truncated, have wrong types, be far too long, or not be JSON at all. Each
+// decoder must return a value with the properties that its users rely on, or an error.
 
 namespace
 {
@@ -57,7 +57,7 @@
     return odd[random() % odd.size()];
 }
 
-// Changes one value somewhere in a document, or takes it out.
+// Replaces or removes one random value of a document.
 void change_somewhere(json& at, std::mt19937_64& random)
 {
     if (at.is_structured() && !at.empty() && random() % 4 != 0)
@@ -242,7 +242,7 @@
     BOOST_TEST(decode_catalogue(R"({"version":7,"routes":[],"services":[],"tenants":[{}]})").index() == 1);
 }
 
-// A document that was cut short ends in the middle of a key at times.
+// Parse errors of a truncated document must not leak part of an API key.
 BOOST_AUTO_TEST_CASE(an_error_quotes_no_part_of_a_document)
 {
     const std::string whole = with_organisation(R"("api-keys":["verysecret"])");
--- a/tests/src/unit-platform.cpp
+++ b/tests/src/unit-platform.cpp
@@ -55,7 +55,7 @@
 BOOST_AUTO_TEST_CASE(every_fault_of_the_settings_is_named_at_once)
 {
     const settings_outcome out = read_settings(write_file("serves = [\"edge\"]\n"));
-    BOOST_TEST(out.faults.size() == 7U); // name, zone, ip, ports, seeds and two addresses
+    BOOST_TEST(out.faults.size() == 7U); // node-name, zone, ip, internal-ports, seeds and two addresses
     BOOST_TEST(read_settings(write_file("= nonsense")).faults.size() == 1U);
     BOOST_TEST(read_settings("/nowhere/at/all.toml").faults.size() == 1U);
 }
@@ -105,7 +105,7 @@
     BOOST_TEST(decode_wave("{\"wave\":1}").index() == 1U);
 }
 
-// Each prefix of a good body is an error or, at the end, the body: nothing else and no crash.
+// Every proper prefix of a valid body must be an error; the whole body must decode.
 BOOST_AUTO_TEST_CASE(cut_bodies_are_errors)
 {
     const std::string look =
