--- a/include/walkthread/node/access.hpp
+++ b/include/walkthread/node/access.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Who a bearer token belongs to. Settings hold only hashes.
+/// @brief Maps bearer tokens to organisations and roles. The settings hold only hashes of tokens.
 /// @since 0.1
 
 #include <optional>
@@ -12,16 +12,16 @@
 namespace walkthread
 {
 
-/// @brief Checks tokens against the settings, in time that does not depend on the token.
+/// @brief Checks tokens against the settings. Hashes are compared in constant time.
 /// @since 0.1
 class access_check
 {
   public:
     explicit access_check(const settings& config);
 
-    /// @brief The organisation whose operator's token this is.
+    /// @brief The organisation that the operator token of an Authorization header belongs to, or null.
     [[nodiscard]] const organisation_settings* operator_of(const std::string& authorization) const;
-    /// @brief The organisation whose caller's token this is.
+    /// @brief The organisation that the caller token of an Authorization header belongs to, or null.
     [[nodiscard]] const organisation_settings* caller_of(const std::string& authorization) const;
     [[nodiscard]] bool is_admin(const std::string& authorization) const;
     [[nodiscard]] bool is_worker(const std::string& authorization) const;
--- a/include/walkthread/node/core.hpp
+++ b/include/walkthread/node/core.hpp
@@ -1,7 +1,8 @@
 #pragma once
 
 /// @file
-/// @brief The core of a process: one thread that owns all groups, and calls to groups wherever they are led.
+/// @brief The core of a process: one thread that owns all replicated groups, and calls to group leaders in
+/// any process.
 /// @since 0.1
 
 #include <atomic>
@@ -26,25 +27,25 @@
 namespace walkthread
 {
 
-/// @brief Takes the reply to a call. Called on the core thread, exactly once.
+/// @brief Receives the reply to a call. Called on the core thread, exactly once.
 using reply_handler = std::function<void(reply_body)>;
 
-/// @brief What a group's owner at this process does besides replication. All on the core thread.
+/// @brief Callbacks of a group at this process, besides replication. All run on the core thread.
 /// @since 0.1
 struct group_duties
 {
     /// Handles a call to the group; called only while this process leads it and holds the lease.
     std::function<void(const call_body&, reply_handler)> handle;
-    /// Called every tick, whoever leads.
+    /// Called every tick, on leaders and followers.
     std::function<void(monotonic_time, wall_ms)> tick;
-    /// Called after entries were applied.
+    /// Called after log entries were applied.
     std::function<void()> applied;
 };
 
 /// @brief The core of a process.
 ///
-/// Everything that is decided or replicated runs on one thread, so that the layers below need no locks. Other
-/// threads hand work over by `post` and `ask`.
+/// All decisions and all replication run on one thread, so that the layers below need no locks. Other threads
+/// use the functions marked as safe to call from any thread.
 /// @since 0.1
 class process_core
 {
@@ -54,39 +55,40 @@
     process_core(const process_core&) = delete;
     process_core& operator=(const process_core&) = delete;
 
-    /// @brief Adds a group that this process keeps. Only before `start`.
+    /// @brief Adds a group of which this process is a replica. Only before `start`.
     replicated_group& add_group(group_id id, state_hooks hooks, group_duties duties);
-    /// @brief Adds something to do every tick. Only before `start`.
+    /// @brief Adds a function that is called every tick. Only before `start`.
     void add_ticker(std::function<void(monotonic_time, wall_ms)> ticker);
     /// @brief Starts the network and the core thread. @return whether the peer address could be bound
     [[nodiscard]] bool start();
-    /// @brief Hands leadership over, then ends the core thread and the network.
+    /// @brief Transfers leadership, then stops the core thread and the network.
     void stop();
 
-    /// @brief Runs something on the core thread. From any thread.
+    /// @brief Queues a function to run on the core thread. From any thread.
     void post(std::function<void()> work);
-    /// @brief Runs something on the core thread and waits for its value. Not from the core thread.
+    /// @brief Runs a function on the core thread and waits for its result. Not from the core thread.
     template <typename T>
     T run(std::function<T()> work);
-    /// @brief Calls a group's leader, here or elsewhere, and tries again until the time is up. From any
-    /// thread. The handler gets a not_here_reply with node_code::no_leader or timed_out when it is.
+    /// @brief Calls a group's leader, in this or another process, and retries until the timeout. From any
+    /// thread. After the timeout the handler gets an error reply with node_code::no_leader or timed_out.
     void call(group_id group, call_body body, milliseconds timeout, reply_handler handler);
-    /// @brief Calls one process, whether it leads the group or not. From any thread.
+    /// @brief Calls a given process, whether or not it leads the group. From any thread.
     void call_node(node_id node, group_id group, call_body body, milliseconds timeout, reply_handler handler);
-    /// @brief Calls a group's leader and waits. Not from the core thread.
+    /// @brief Calls a group's leader and waits for the reply. Not from the core thread.
     [[nodiscard]] reply_body ask(group_id group, call_body body, milliseconds timeout);
-    /// @brief Calls one process and waits. Not from the core thread.
+    /// @brief Calls a given process and waits for the reply. Not from the core thread.
     [[nodiscard]] reply_body ask_node(node_id node, group_id group, call_body body, milliseconds timeout);
-    /// @brief Tells all peers that a group has news; often, it is told once.
+    /// @brief Notifies all peers that the state of a group changed. Notifications between two flushes are
+    /// merged into one.
     void announce(group_id group);
-    /// @brief Sets what happens when a peer announces news. Only before `start`.
+    /// @brief Sets the handler for change notices of peers. Only before `start`.
     void on_news(std::function<void(group_id)> handler);
-    /// @brief Sets what answers timeline calls and others that need no leader. Only before `start`.
+    /// @brief Sets the handler for calls that need no leader, such as timeline calls. Only before `start`.
     void on_local_call(std::function<reply_body(const call_body&)> handler);
 
-    /// @brief The group if this process keeps it, or null. On the core thread.
+    /// @brief The group if this process is a replica of it, otherwise null. On the core thread.
     [[nodiscard]] replicated_group* find_group(group_id id);
-    /// @brief Whether this process leads a group and holds its lease. On the core thread.
+    /// @brief Whether this process leads a group and holds the leader lease. On the core thread.
     [[nodiscard]] bool leads(group_id id, monotonic_time now);
     [[nodiscard]] const settings& config() const
     {
@@ -104,7 +106,7 @@
     {
         return m_network;
     }
-    /// @brief Whether the disk failed, so that this process has to stop.
+    /// @brief Whether storage failed, so that this process has to stop.
     [[nodiscard]] bool failed() const
     {
         return m_failed;
@@ -123,9 +125,9 @@
         call_body body;
         monotonic_time deadline{};
         monotonic_time retry_at{};
-        std::optional<node_id> only; ///< the process to ask, if not the leader
+        std::optional<node_id> only; ///< the process to call instead of the leader
         std::size_t attempt = 0;
-        bool waiting = false; ///< sent, no reply yet
+        bool waiting = false; ///< sent and not answered yet
         node_id sent_to{};
         reply_handler handler;
     };
--- a/include/walkthread/node/documents.hpp
+++ b/include/walkthread/node/documents.hpp
@@ -1,7 +1,8 @@
 #pragma once
 
 /// @file
-/// @brief States as JSON documents, for operators. What belongs to another organisation is left out.
+/// @brief Conversion of states to JSON documents and of JSON requests to commands. Documents for an
+/// organisation omit what belongs to others.
 /// @since 0.1
 
 #include <optional>
@@ -17,32 +18,32 @@
 namespace walkthread
 {
 
-/// @brief Answers a query about one hall.
+/// @brief The document for a query about one hall.
 [[nodiscard]] std::string hall_document(const query_call& query, const hall_state& state,
                                         std::optional<wait_reason> reason, const replica& core);
-/// @brief Leader, members and lag of one group.
+/// @brief Leader, members and replication lag of one group.
 [[nodiscard]] std::string group_document(const replica& core);
-/// @brief Answers a query about root. An empty string if there is no such thing.
+/// @brief The document for a query about the root state; empty if the object does not exist.
 [[nodiscard]] std::string root_document(const query_call& query, const root_state& state);
-/// @brief Events in order.
+/// @brief Events sorted by time stamp.
 [[nodiscard]] std::string timeline_document(std::vector<timeline_event> events);
 /// @brief The result of a command.
 [[nodiscard]] std::string result_document(const root_result& answer);
-/// @brief An error with its number and what it means.
+/// @brief An error with its code and description.
 [[nodiscard]] std::string error_document(int code, std::string_view detail);
 
-/// @brief Reads a template from JSON. @return it, or what is wrong with which field
+/// @brief Parses a template. @return the command, or a description of the first invalid field
 [[nodiscard]] result<put_template, std::string> parse_template(const settings& config, std::string_view json);
-/// @brief Reads a configuration from JSON, and which parameters it gives.
+/// @brief Parses a configuration and records which parameters are present.
 [[nodiscard]] result<put_configuration, std::string> parse_configuration(const settings& config,
                                                                          std::string_view json);
-/// @brief Reads a team's quota from JSON.
+/// @brief Parses a team's quota.
 [[nodiscard]] result<put_team, std::string> parse_team(std::string_view json);
-/// @brief Reads a list of jobs from JSON.
+/// @brief Parses a list of jobs to cancel.
 [[nodiscard]] result<cancel_jobs, std::string> parse_cancellation(std::string_view json);
-/// @brief Reads a worker's renewal from JSON.
+/// @brief Parses a worker's lease renewal.
 [[nodiscard]] result<renew_call, std::string> parse_renewal(std::string_view json);
-/// @brief The answer to a worker's renewal.
+/// @brief The response to a worker's lease renewal.
 [[nodiscard]] std::string renewal_document(const renew_reply& reply);
 
 } // namespace walkthread
--- a/include/walkthread/node/endpoint_feed.hpp
+++ b/include/walkthread/node/endpoint_feed.hpp
@@ -16,7 +16,7 @@
 namespace walkthread
 {
 
-/// @brief What a gateway has to know of a service to route a request.
+/// @brief The properties of a service that a gateway needs to route requests.
 /// @since 0.1
 struct service_view
 {
@@ -30,15 +30,15 @@
   public:
     endpoint_feed(process_core& core, root_service& root);
 
-    /// @brief Starts to follow halls and root. Before the core starts.
+    /// @brief Subscribes to changes of the halls and of the root state. Only before the core starts.
     void attach();
-    /// @brief Asks a hall for changes now. On the core thread.
+    /// @brief Requests changes from a hall now. On the core thread.
     void refresh(hall_id hall);
 
-    /// @brief A service of an organisation, if it is in force.
+    /// @brief A service of an organisation, if its configuration exists and is not withdrawn.
     [[nodiscard]] std::optional<service_view>
     find_service(const endpoint_directory::service_key& service) const;
-    /// @brief Whether the configuration here was confirmed within its staleness.
+    /// @brief Whether the local configuration was confirmed within the allowed staleness.
     [[nodiscard]] bool confirmed(monotonic_time now) const;
     [[nodiscard]] std::optional<endpoint> begin(const endpoint_directory::service_key& service,
                                                 std::uint64_t hash, const std::vector<endpoint_key>& tried,
--- a/include/walkthread/node/exchange.hpp
+++ b/include/walkthread/node/exchange.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief One exchange with an endpoint over HTTP, and what it proved.
+/// @brief HTTP exchanges with endpoints, and how they are classified.
 /// @since 0.1
 
 #include <memory>
@@ -17,18 +17,18 @@
 namespace walkthread
 {
 
-/// @brief What is sent to an endpoint.
+/// @brief A request to an endpoint.
 /// @since 0.1
 struct exchange_request
 {
     attempt_id attempt{};
     std::string service{};
     std::string body{};
-    bool fresh_connection{}; ///< never on a connection that served another request before
+    bool fresh_connection{}; ///< use a new connection that served no other request
     milliseconds timeout{};
 };
 
-/// @brief How an exchange ended.
+/// @brief The result of an exchange.
 /// @since 0.1
 struct exchange_result
 {
@@ -38,10 +38,11 @@
     std::string content_type{};
 };
 
-/// @brief Connections to endpoints. Safe to use from several threads.
+/// @brief Pool of HTTP connections to endpoints. Thread-safe.
 ///
-/// One attempt is on a connection at a time. An answer counts only if it is whole and names this attempt;
-/// after anything else the connection is closed, so that a late or repeated answer can reach nobody else.
+/// A connection carries one attempt at a time. A response is accepted only if it is complete and carries the
+/// id of the attempt. Otherwise the connection is closed, so that a late or repeated response cannot be taken
+/// for the response to another request.
 /// @since 0.1
 class endpoint_connections
 {
@@ -51,7 +52,7 @@
     endpoint_connections(const endpoint_connections&) = delete;
     endpoint_connections& operator=(const endpoint_connections&) = delete;
 
-    /// @brief Sends a request and waits for its answer.
+    /// @brief Sends a request and waits for the response.
     [[nodiscard]] exchange_result run(const endpoint& to, const exchange_request& request);
 
   private:
--- a/include/walkthread/node/hall_service.hpp
+++ b/include/walkthread/node/hall_service.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief One hall's group at one process, and the duties of its leader: leases, schedules, orders to
+/// @brief One hall's group at one process, and the tasks of its leader: leases, scheduling, orders to
 /// workers.
 /// @since 0.1
 
@@ -22,24 +22,24 @@
 namespace walkthread
 {
 
-/// @brief One hall at one process. Belongs to the core thread.
+/// @brief One hall at one process. Used only on the core thread.
 /// @since 0.1
 class hall_service
 {
   public:
     hall_service(process_core& core, root_service& root, hall_id hall);
 
-    /// @brief Joins the hall's group.
+    /// @brief Registers the hall's group with the core.
     void attach();
     [[nodiscard]] const hall_state& state() const
     {
         return m_state;
     }
-    /// @brief What the platform lists as leaving and as live; a hint that may lag.
+    /// @brief Applies the platform's list of live and leaving hosts. The list is a hint and may lag.
     void take_platform_list(const std::set<worker_id>& live, const std::set<worker_id>& leaving);
 
   private:
-    /// What a leader keeps besides the state; gone when it leads no more.
+    /// State of a leader that is not replicated. Discarded when leadership ends.
     struct leading
     {
         leading(const settings& config, scheduler_settings policy);
@@ -52,18 +52,18 @@
         bool reconcile_in_flight = false;
         bool root_changed = true;
         monotonic_time next_summary{};
-        std::vector<run_report> reports;                    ///< for the next entry
-        std::set<std::pair<run_id, std::uint8_t>> reported; ///< proposed or waiting, not applied yet
+        std::vector<run_report> reports;                    ///< to be proposed with the next log entry
+        std::set<std::pair<run_id, std::uint8_t>> reported; ///< queued or proposed, not applied yet
         std::set<run_id> over_size;                         ///< runs to throttle
-        std::set<run_id> placed;                            ///< by this leader
-        std::set<run_id> told;                      ///< runs whose start was in an answer of this leader
-        std::set<run_id> withdrawn;                 ///< that they never began waits for its commit
-        std::map<run_id, monotonic_time> stop_seen; ///< since when this leader knows of a stop
+        std::set<run_id> placed;                            ///< placed by this leader
+        std::set<run_id> told;                      ///< runs whose start order was in a reply of this leader
+        std::set<run_id> withdrawn;                 ///< reported as never started; commit pending
+        std::map<run_id, monotonic_time> stop_seen; ///< when this leader first saw the stop
         std::map<job_id, std::uint64_t> service_revision;
         std::uint64_t revision = 1;
         std::set<worker_id> platform_drained;
     };
-    /// A renewal that waits for news.
+    /// A renewal (long poll) that is answered when there are orders, or at `until`.
     struct parked_renewal
     {
         reply_handler handler;
--- a/include/walkthread/node/http_answers.hpp
+++ b/include/walkthread/node/http_answers.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief HTTP answers that several interfaces give, and the statuses that walkthread uses.
+/// @brief HTTP responses shared by several interfaces, and the status codes that walkthread uses.
 /// @since 0.1
 
 #include <string>
@@ -26,11 +26,11 @@
 inline constexpr int timed_out = 504;
 } // namespace http_status
 
-/// @brief An answer with an error's number; 503 carries Retry-After.
+/// @brief A response with an error document. Status 503 carries Retry-After.
 [[nodiscard]] http_answer error_answer(int status, int code, const std::string& detail);
-/// @brief The same for an error of the node layer.
+/// @brief A response with an error of the node layer.
 [[nodiscard]] http_answer error_answer(int status, node_code code, const std::string& detail);
-/// @brief A good answer.
+/// @brief A response with status 200.
 [[nodiscard]] http_answer plain_answer(std::string body, std::string content_type = "application/json");
 
 } // namespace walkthread
--- a/include/walkthread/node/http_host.hpp
+++ b/include/walkthread/node/http_host.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief One HTTP listener with bounded threads and queue. The HTTP library stays behind this header.
+/// @brief HTTP server with a bounded thread pool and queue. This header hides the HTTP library.
 /// @since 0.1
 
 #include <cstdint>
@@ -17,19 +17,19 @@
 namespace walkthread
 {
 
-/// @brief An HTTP request, as handlers see it.
+/// @brief An HTTP request as passed to handlers.
 /// @since 0.1
 struct http_request
 {
     std::string path{};
-    std::vector<std::string> parts{};           ///< what the route's groups matched
-    std::map<std::string, std::string> query{}; ///< decoded
+    std::vector<std::string> parts{};           ///< capture groups of the route's pattern
+    std::map<std::string, std::string> query{}; ///< URL-decoded
     std::string authorization{};
     std::string idempotency_key{};
     std::string body{};
 };
 
-/// @brief An HTTP answer.
+/// @brief An HTTP response.
 /// @since 0.1
 struct http_answer
 {
@@ -39,10 +39,10 @@
     std::vector<std::pair<std::string, std::string>> headers{};
 };
 
-/// @brief Answers a request. Called from the listener's threads, many at once.
+/// @brief Handles a request. Called concurrently from the server's threads.
 using http_handler = std::function<http_answer(const http_request&)>;
 
-/// @brief Bounds of one listener.
+/// @brief Resource limits of one HTTP server.
 /// @since 0.1
 struct http_bounds
 {
@@ -53,29 +53,29 @@
     seconds read_timeout{5};
 };
 
-/// @brief One HTTP listener.
+/// @brief One HTTP server.
 ///
-/// A connection holds one thread. Connections above the threads wait in a bounded queue; above that they get
-/// 503 with Retry-After at once, and when even those answers pile up, the listener stops accepting for a
-/// while.
+/// A connection occupies one thread. If all threads are busy, connections wait in a bounded queue. If the
+/// queue is full, they get 503 with Retry-After at once. If the queue of connections to reject is full too,
+/// the server stops accepting until one of them has been answered.
 /// @since 0.1
 class http_host
 {
   public:
-    /// @param certificate a file; empty for plain HTTP
+    /// @param certificate path of a PEM file; empty for plain HTTP
     http_host(socket_address address, const http_bounds& bounds, const std::string& certificate,
               const std::string& key);
     ~http_host();
     http_host(const http_host&) = delete;
     http_host& operator=(const http_host&) = delete;
 
-    /// @brief Adds a route. @param pattern a regular expression over the whole path
+    /// @brief Adds a route. @param pattern a regular expression that matches the whole path
     void get(const std::string& pattern, http_handler handler);
     void put(const std::string& pattern, http_handler handler);
     void post(const std::string& pattern, http_handler handler);
     void erase(const std::string& pattern, http_handler handler);
 
-    /// @brief Starts to listen. @return whether the address could be bound
+    /// @brief Starts listening. @return whether the address could be bound
     [[nodiscard]] bool start();
     /// @brief Stops accepting and waits until the requests in progress are answered.
     void stop();
--- a/include/walkthread/node/messages.hpp
+++ b/include/walkthread/node/messages.hpp
@@ -36,38 +36,38 @@
     MSGPACK_DEFINE(command)
 };
 
-/// @brief What a worker says of one run.
+/// @brief Status of one run, as reported by its worker.
 struct run_status
 {
     run_id run{};
     std::uint8_t event{}; ///< a run_event
     std::uint16_t port{};
-    std::int64_t cpu{};    ///< lagging usage, in thousandths of a core
-    std::int64_t memory{}; ///< lagging usage, in mebibytes
-    bool throttled{};      ///< an order to throttle is being followed
-    bool stopping{};       ///< an order to stop is being followed
+    std::int64_t cpu{};    ///< recent usage in millicores; lags
+    std::int64_t memory{}; ///< recent usage in MiB; lags
+    bool throttled{};      ///< the run is throttled as ordered
+    bool stopping{};       ///< the run is being stopped as ordered
     MSGPACK_DEFINE(run, event, port, cpu, memory, throttled, stopping)
 };
 
-/// @brief A worker's renewal, with all that it knows of its runs.
+/// @brief A worker's lease renewal, with the status of its runs.
 struct renew_call
 {
     worker_id worker{};
     epoch_id epoch{};        ///< 0 to register
     register_worker about{}; ///< used when registering
     std::vector<run_status> runs{};
-    std::int64_t wait_ms{}; ///< how long the answer may wait for news
+    std::int64_t wait_ms{}; ///< how long the leader may hold the reply until there are orders (long poll)
     MSGPACK_DEFINE(worker, epoch, about, runs, wait_ms)
 };
 
-/// @brief Asks the root leader for what is new, and tells it how the asker's halls are.
+/// @brief Requests root log entries after a given position from the root leader.
 struct root_view_call
 {
     log_index known{};
     MSGPACK_DEFINE(known)
 };
 
-/// @brief Asks a hall's leader for changed endpoints.
+/// @brief Requests changed endpoints from a hall's leader.
 struct endpoints_call
 {
     term_id term{};
@@ -75,43 +75,43 @@
     MSGPACK_DEFINE(term, revision)
 };
 
-/// @brief A hall leader's summary for the root leader, which spreads jobs by it.
+/// @brief A hall leader's load summary. The root leader chooses halls for jobs by it.
 struct hall_summary_call
 {
     hall_id hall{};
     resources capacity{};
     resources reserved{};
-    resources largest{}; ///< largest host, dimension by dimension
+    resources largest{}; ///< largest capacity of any host in each dimension
     std::uint32_t waiting{};
     MSGPACK_DEFINE(hall, capacity, reserved, largest, waiting)
 };
 
-/// @brief Asks for events.
+/// @brief Requests timeline events.
 struct timeline_call
 {
     timeline_filter filter{};
     MSGPACK_DEFINE(filter)
 };
 
-/// @brief What a query is about.
+/// @brief The subject of a query.
 enum class query_kind : std::uint8_t
 {
     jobs = 0,           ///< jobs of an organisation in one hall
     explain = 1,        ///< one job in one hall
     hosts = 2,          ///< workers of one hall
-    group = 3,          ///< leader, members and lag of one group
+    group = 3,          ///< leader, members and replication lag of one group
     configurations = 4, ///< root: all configurations of an organisation
-    configuration = 5,  ///< root: one of them, by name
+    configuration = 5,  ///< root: one configuration by name
     templates = 6,      ///< root
-    all_jobs = 7,       ///< root: jobs of an organisation, ended ones included
+    all_jobs = 7,       ///< root: jobs of an organisation, including ended ones
     teams = 8,          ///< root
 };
 
-/// @brief Asks a group's leader for a JSON document.
+/// @brief Requests a JSON document from a group's leader.
 struct query_call
 {
     std::uint8_t kind{};
-    organisation_id organisation{}; ///< what is another one's is left out; 0 for administrators
+    organisation_id organisation{}; ///< only what belongs to it is included; 0 for administrators: everything
     job_id job{};
     std::string name{};
     MSGPACK_DEFINE(kind, organisation, job, name)
@@ -120,8 +120,8 @@
 /// @brief Changes a group's members.
 struct members_call
 {
-    learner add{};       ///< node 0 for nothing to add
-    replica_id remove{}; ///< node 0 for nothing to remove
+    learner add{};       ///< node 0: nothing to add
+    replica_id remove{}; ///< node 0: nothing to remove
     MSGPACK_DEFINE(add, remove)
 };
 
@@ -132,34 +132,34 @@
 // Replies
 // ---------------------------------------------------------------------------------------------------------
 
-/// @brief The call was not handled here; ask another process.
+/// @brief The call failed or has to go to another process.
 struct not_here_reply
 {
-    node_id leader{}; ///< 0 for unknown
+    node_id leader{}; ///< 0 if unknown
     int code{};       ///< a node_code
     std::string detail{};
     MSGPACK_DEFINE(leader, code, detail)
 };
 
-/// @brief Answers root_call after the command is committed.
+/// @brief Reply to root_call, sent after the command is committed.
 struct root_reply
 {
     root_result answer{};
     MSGPACK_DEFINE(answer)
 };
 
-/// @brief Answers hall_call after the command is committed.
+/// @brief Reply to hall_call, sent after the command is committed.
 struct hall_reply
 {
     hall_result answer{};
     MSGPACK_DEFINE(answer)
 };
 
-/// @brief A run that a worker is to start.
+/// @brief An order to a worker to start a run.
 struct start_order
 {
     run_id run{};
-    std::string name{}; ///< of the configuration
+    std::string name{}; ///< name of the configuration
     std::string organisation{};
     std::uint8_t kind{};
     resources size{};
@@ -168,7 +168,7 @@
     MSGPACK_DEFINE(run, name, organisation, kind, size, run_seconds, from_checkpoint)
 };
 
-/// @brief A run that a worker is to stop; with a checkpoint if it can.
+/// @brief An order to a worker to stop a run, with a checkpoint if supported and requested.
 struct halt_order
 {
     run_id run{};
@@ -176,20 +176,20 @@
     MSGPACK_DEFINE(run, checkpoint)
 };
 
-/// @brief Answers renew_call: a lease, and what to do.
+/// @brief Reply to renew_call: the lease and orders.
 struct renew_reply
 {
-    bool must_register{}; ///< the lease is over: stop everything and register
+    bool must_register{}; ///< the lease has expired: stop all runs and register again
     epoch_id epoch{};
-    std::int64_t lease_ms{}; ///< counted from when the worker asked
+    std::int64_t lease_ms{}; ///< counted from when the worker sent the renewal
     std::vector<start_order> start{};
     std::vector<halt_order> halt{};
     std::vector<run_id> throttle{};
-    std::vector<run_id> forget{}; ///< ends that are recorded
+    std::vector<run_id> forget{}; ///< ended runs whose end is recorded
     MSGPACK_DEFINE(must_register, epoch, lease_ms, start, halt, throttle, forget)
 };
 
-/// @brief Answers root_view_call. What it says was true when the call was sent or later.
+/// @brief Reply to the request for root log entries. Its content was current when the call was sent or later.
 struct root_view_reply
 {
     log_index commit{};
@@ -199,34 +199,34 @@
     MSGPACK_DEFINE(commit, has_snapshot, content, entries)
 };
 
-/// @brief Answers endpoints_call.
+/// @brief Reply to endpoints_call.
 struct endpoints_reply
 {
     term_id term{};
     std::uint64_t revision{};
-    bool everything{}; ///< what was known before is void
+    bool everything{}; ///< full list: replaces all earlier content
     std::vector<service_endpoints> services{};
     MSGPACK_DEFINE(term, revision, everything, services)
 };
 
-/// @brief Answers timeline_call.
+/// @brief Reply to timeline_call.
 struct timeline_reply
 {
     std::vector<timeline_event> events{};
     MSGPACK_DEFINE(events)
 };
 
-/// @brief Answers query_call.
+/// @brief Reply to query_call.
 struct document_reply
 {
     std::string json{};
     MSGPACK_DEFINE(json)
 };
 
-/// @brief Answers calls that have nothing to say.
+/// @brief Reply to calls that return no content.
 struct done_reply
 {
-    bool changed{}; ///< of members_call: whether the member was not there before
+    bool changed{}; ///< for members_call: whether the replica was not a member before
     MSGPACK_DEFINE(changed)
 };
 
@@ -273,7 +273,8 @@
     MSGPACK_DEFINE(id, body)
 };
 
-/// @brief Says that root or a hall has news, so that nobody needs to wait for the next regular question.
+/// @brief Notice that the state of root or of a hall changed, so that receivers request changes before
+/// their next regular poll.
 struct news_frame
 {
     group_id group{};
@@ -282,7 +283,7 @@
 
 using peer_message = std::variant<hello, replica_frame, call_frame, reply_frame, news_frame>;
 
-/// @brief What a frame carries: a stamp that orders events over processes, and a message.
+/// @brief Content of a frame: a hybrid time stamp that orders events across processes, and a message.
 struct peer_envelope
 {
     hybrid_stamp stamp{};
--- a/include/walkthread/node/operator_api.hpp
+++ b/include/walkthread/node/operator_api.hpp
@@ -17,17 +17,17 @@
 namespace walkthread
 {
 
-/// @brief Answers operators. Safe to use from several threads.
+/// @brief Handles requests of operators and administrators. Thread-safe.
 /// @since 0.1
 class operator_api
 {
   public:
-    /// @param healthy false as soon as this process is being stopped
+    /// @param healthy false once this process is shutting down
     operator_api(process_core& core, root_service& root, const std::atomic<bool>& healthy);
 
-    /// @brief Adds all routes to a listener.
+    /// @brief Adds all routes to an HTTP server.
     void add_routes(http_host& host);
-    /// @brief Adds only /healthz, for the balancer in front of callers.
+    /// @brief Adds only /healthz, for the load balancer in front of the gateways.
     void add_health(http_host& host);
 
   private:
--- a/include/walkthread/node/peer_network.hpp
+++ b/include/walkthread/node/peer_network.hpp
@@ -3,9 +3,9 @@
 /// @file
 /// @brief TCP connections to the other processes of the cell.
 ///
-/// Each process connects to each other one and sends on its own connection only; what it receives comes on
-/// the connections that others made. Queues are bounded: what does not fit is dropped, and the protocols
-/// above resend.
+/// Each process opens a connection to every peer and sends only on connections that it opened; it receives on
+/// connections that peers opened. Send queues are bounded: a message that does not fit is dropped, and the
+/// protocols above resend it.
 /// @since 0.1
 
 #include <atomic>
@@ -32,7 +32,7 @@
 class peer_network
 {
   public:
-    /// @brief Takes a message and the node that sent it. Called from reader threads.
+    /// @brief Receives a message and the node that sent it. Called from reader threads.
     using receiver = std::function<void(node_id, peer_message)>;
 
     peer_network(const settings& config, incarnation_id incarnation, timeline& events, metrics& counters,
@@ -41,13 +41,13 @@
     peer_network(const peer_network&) = delete;
     peer_network& operator=(const peer_network&) = delete;
 
-    /// @brief Listens and connects. @return whether the address could be bound
+    /// @brief Starts listening and connecting. @return whether the address could be bound
     [[nodiscard]] bool start();
-    /// @brief Ends all threads.
+    /// @brief Stops all threads and waits for them.
     void stop();
-    /// @brief Queues a message. Never blocks.
+    /// @brief Queues a message without waiting for the network. Drops it if the queue is full.
     void send(node_id to, const peer_message& message);
-    /// @brief The newest incarnation of a node that was heard of; 0 for none.
+    /// @brief The latest incarnation that a node has announced; 0 if none.
     [[nodiscard]] incarnation_id incarnation_of(node_id node) const;
 
   private:
--- a/include/walkthread/node/platform_watch.hpp
+++ b/include/walkthread/node/platform_watch.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief Follows the platform's lagging list of live and leaving hosts.
+/// @brief Polls the platform's list of live and leaving hosts. The list lags.
 /// @since 0.1
 
 #include <atomic>
@@ -15,12 +15,12 @@
 namespace walkthread
 {
 
-/// @brief Asks the platform every second. What it lists is a hint and decides nothing alone.
+/// @brief Polls the platform every second. The list is a hint and is never the only ground for a decision.
 /// @since 0.1
 class platform_watch
 {
   public:
-    /// @brief Takes the hosts listed as live and as leaving. Called from this watch's thread.
+    /// @brief Receives the hosts listed as live and as leaving. Called from the polling thread.
     using list_handler = std::function<void(std::set<worker_id> live, std::set<worker_id> leaving)>;
 
     platform_watch(socket_address platform, list_handler handler);
--- a/include/walkthread/node/process.hpp
+++ b/include/walkthread/node/process.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief A whole daemon: its parts, how they are put together, and a planned stop.
+/// @brief The daemon: its components, how they are connected, and graceful shutdown.
 /// @since 0.1
 
 #include <atomic>
@@ -28,18 +28,18 @@
 class process
 {
   public:
-    /// @param folder null for a node without the control role
+    /// @param folder the data folder; null for a node without the control role
     process(const settings& config, std::unique_ptr<data_folder> folder);
     ~process();
     process(const process&) = delete;
     process& operator=(const process&) = delete;
 
-    /// @brief Starts everything. @return whether all addresses could be bound
+    /// @brief Starts all components. @return whether all addresses could be bound
     [[nodiscard]] bool start();
-    /// @brief A planned stop: health turns false, the balancer looks away, what is in progress ends,
-    /// leadership is handed over.
+    /// @brief Shuts down gracefully: reports unhealthy, waits for the load balancer to stop routing here,
+    /// completes requests in progress and transfers leadership.
     void stop();
-    /// @brief Whether the disk failed, so that the process has to end.
+    /// @brief Whether storage failed, so that the process has to stop.
     [[nodiscard]] bool failed() const
     {
         return m_core.failed();
--- a/include/walkthread/node/request_router.hpp
+++ b/include/walkthread/node/request_router.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// @brief A caller's request from admission to its outcome.
+/// @brief Routes callers' requests, from admission to outcome.
 /// @since 0.1
 
 #include <atomic>
@@ -21,7 +21,7 @@
 namespace walkthread
 {
 
-/// @brief Answers callers. Safe to use from several threads; each call takes one.
+/// @brief Handles callers' requests. Thread-safe; each call blocks its thread until the outcome is known.
 /// @since 0.1
 class request_router
 {
@@ -29,13 +29,13 @@
     request_router(process_core& core, endpoint_feed& feed);
 
     /// @brief Handles one request.
-    /// @param key the Idempotency-Key; may be empty for repeatable services
-    /// @return 200..599 of the endpoint with outcome `completed`; 503 with `not_run` and Retry-After; 504
-    /// with
-    ///         `unknown`; 400, 404, 409, 422 for requests that can never run as they are
+    /// @param key the Idempotency-Key; may be empty if the service is repeatable
+    /// @return the endpoint's status (200..599) with outcome `completed`; 503 with `not_run` and Retry-After;
+    ///         504 with `unknown`; 409 while a request with the same key is in progress; 410 if the request
+    ///         ran but its response was not stored; 400, 404, 422 for requests that are never accepted
     [[nodiscard]] http_answer handle(const organisation_settings& caller, const std::string& service,
                                      const std::string& key, const std::string& body);
-    /// @brief Refuses everything from now on, for a planned stop; what is in progress ends.
+    /// @brief Rejects new requests from now on, for shutdown. Requests in progress complete.
     void refuse_new()
     {
         m_stopping = true;
--- a/include/walkthread/node/root_service.hpp
+++ b/include/walkthread/node/root_service.hpp
@@ -1,7 +1,8 @@
 #pragma once
 
 /// @file
-/// @brief Root state at one process: a replica's, or a copy that follows the leader, and the leader's duties.
+/// @brief Root state at one process: a replica or a copy that follows the leader, and the tasks of the
+/// leader.
 /// @since 0.1
 
 #include <functional>
@@ -15,27 +16,28 @@
 namespace walkthread
 {
 
-/// @brief Root state at one process. Belongs to the core thread.
+/// @brief Root state at one process. Used only on the core thread.
 /// @since 0.1
 class root_service
 {
   public:
     explicit root_service(process_core& core);
 
-    /// @brief Joins the group if the settings make this process a replica, and starts to follow the leader.
+    /// @brief Registers the group if this process is a replica according to the settings, and starts
+    /// following the leader.
     void attach();
-    /// @brief Adds something to do after the state changed.
+    /// @brief Adds a function that is called after the state changed.
     void on_change(std::function<void()> handler);
-    /// @brief Asks the leader for changes now.
+    /// @brief Requests changes from the leader now.
     void refresh();
 
     [[nodiscard]] const root_state& state() const
     {
         return m_state;
     }
-    /// @brief The log position that the state stands at.
+    /// @brief The log index up to which the state has been applied.
     [[nodiscard]] log_index applied() const;
-    /// @brief When the state was last known to be the newest.
+    /// @brief The latest time at which the state is known to have been current.
     [[nodiscard]] monotonic_time confirmed_at() const
     {
         return m_confirmed_at;
@@ -62,10 +64,10 @@
     process_core& m_core;
     logger m_log;
     root_state m_state;
-    log_index m_followed{}; ///< of a process that is no replica
+    log_index m_followed{}; ///< applied index of a process that is not a replica
     replicated_group* m_group = nullptr;
     std::vector<std::function<void()>> m_on_change;
-    std::map<hall_id, hall_load> m_halls; ///< at the leader
+    std::map<hall_id, hall_load> m_halls; ///< maintained at the leader
     monotonic_time m_confirmed_at{};
     monotonic_time m_next_view{};
     monotonic_time m_pending_asked{};
--- a/include/walkthread/node/worker_api.hpp
+++ b/include/walkthread/node/worker_api.hpp
@@ -11,13 +11,13 @@
 namespace walkthread
 {
 
-/// @brief Answers workers: passes their renewals to their hall's leader. Safe to use from several threads.
+/// @brief Handles requests of workers: forwards renewals to the leader of their hall. Thread-safe.
 /// @since 0.1
 class worker_api
 {
   public:
     explicit worker_api(process_core& core);
-    /// @brief Adds all routes to a listener.
+    /// @brief Adds all routes to an HTTP server.
     void add_routes(http_host& host);
 
   private:
--- a/src/node/core.cpp
+++ b/src/node/core.cpp
@@ -42,7 +42,7 @@
     replica_start start = m_folder->start_of(id);
     if (!start.base.data.empty() && !hooks.load(start.base.data))
     {
-        fail({storage_code::damaged, "A snapshot cannot be loaded."});
+        fail({storage_code::damaged, "A stored snapshot could not be loaded."});
     }
     const replica_id self{m_settings.node, m_folder->identity().incarnation};
     const std::uint64_t seed =
@@ -127,7 +127,7 @@
 }
 
 // ---------------------------------------------------------------------------------------------------------
-// The loop
+// Main loop
 // ---------------------------------------------------------------------------------------------------------
 
 void process_core::loop()
@@ -195,7 +195,7 @@
     owned.led = leads_now;
 }
 
-// Syncs, sends and applies until nothing is left to do.
+// Syncs, sends and applies until no group has output left, or the maximum number of rounds is reached.
 void process_core::flush(monotonic_time now)
 {
     for (int round = 0; round < max_flush_rounds && !m_failed && flush_once(now); ++round)
@@ -288,7 +288,7 @@
 
 void process_core::fail(const storage_error& error)
 {
-    m_log->error("Error {}: {} This process stops.", error.number(), error.detail);
+    m_log->error("Storage error {}: {} Shutting down.", error.number(), error.detail);
     m_failed = true;
 }
 
@@ -387,7 +387,7 @@
         const node_id leader =
             found == m_groups.end() ? node_id{} : found->second.group->core().leader().node;
         handler(not_here_reply{leader, static_cast<int>(node_code::not_leader),
-                               "This process does not lead the group."});
+                               "This process is not the leader of the group."});
         return;
     }
     if (const auto* change = std::get_if<members_call>(&body))
--- a/src/node/core_calls.cpp
+++ b/src/node/core_calls.cpp
@@ -1,4 +1,4 @@
-// Calls to groups: here or at another process, with retries until the time is up.
+// Calls to group leaders in this or another process, with retries until the timeout.
 
 #include <walkthread/node/core.hpp>
 
@@ -17,7 +17,7 @@
 constexpr unsigned half_of_a_number = 32;
 } // namespace
 
-// Replies to calls of the former life still come, so this life's calls begin somewhere else.
+// Replies to calls of a former incarnation may still arrive, so call ids start at a random number.
 std::uint64_t process_core::first_call_number()
 {
     std::random_device source;
@@ -56,7 +56,7 @@
 
 namespace
 {
-/// Lets one thread wait for a reply that comes on another.
+/// Passes a reply from the core thread to a waiting thread.
 struct reply_slot
 {
     std::mutex mutex;
@@ -111,7 +111,7 @@
     send_call(id, item->second);
 }
 
-// The leader as far as known, else the replicas one after the other.
+// The leader if known, otherwise the replicas in turn.
 node_id process_core::target_of(const pending_call& call) const
 {
     if (call.only)
@@ -151,8 +151,8 @@
                     });
         return;
     }
-    // Commands carry a request or attempt id and so may be told twice. A renewal waits at the leader for
-    // news.
+    // Commands carry a request or attempt id and may be sent twice. A renewal is not resent while the leader
+    // may be holding it until there are orders.
     const bool may_repeat = !std::holds_alternative<renew_call>(call.body);
     call.retry_at = may_repeat ? now + silent_leader : call.deadline;
     m_network.send(target, call_frame{id, call.group, encode(call.body)});
@@ -191,8 +191,9 @@
     node.mapped().handler(std::move(reply));
 }
 
-// Whether a call waits at a process that leads no more. Every call may be told to the new leader: commands
-// carry ids, and a renewal that the old one still answers grants nothing that the new one does not wait out.
+// Whether a call was sent to a process that is no longer the leader. Every call may be resent to the new
+// leader: commands carry ids, and a lease that the old leader still grants expires before the new leader
+// declares the worker lost.
 bool process_core::has_moved(const pending_call& call) const
 {
     const auto own = m_groups.find(call.group);
@@ -224,7 +225,7 @@
         auto node = m_calls.extract(id);
         const bool open = node.mapped().waiting;
         const node_code code = open ? node_code::timed_out : node_code::no_leader;
-        node.mapped().handler(not_here_reply{{}, static_cast<int>(code), "No answer in time."});
+        node.mapped().handler(not_here_reply{{}, static_cast<int>(code), "No reply before the timeout."});
     }
     for (const std::uint64_t id : again)
     {
--- a/src/node/documents.cpp
+++ b/src/node/documents.cpp
@@ -1,4 +1,4 @@
-// States to JSON.
+// Conversion of states to JSON.
 
 #include <walkthread/node/documents.hpp>
 
@@ -38,15 +38,15 @@
     case stop_reason::none:
         return "none";
     case stop_reason::cancelled:
-        return "its configuration was changed or withdrawn, or the job cancelled";
+        return "its configuration was changed or withdrawn, or its job was cancelled";
     case stop_reason::preempted:
-        return "urgent work, or work of the organisation under its share, needed the room";
+        return "preempted by urgent work or by an organisation below its share";
     case stop_reason::drained:
-        return "its host is leaving";
+        return "its host is being drained";
     case stop_reason::gang:
         return "another task of its gang was lost";
     case stop_reason::overused:
-        return "it used more than it declared, although throttled";
+        return "it exceeded its declared resources although throttled";
     }
     return "?";
 }
--- a/src/node/documents_parse.cpp
+++ b/src/node/documents_parse.cpp
@@ -1,4 +1,4 @@
-// JSON from outside to typed commands. Every error names the field.
+// Parsing of JSON requests into typed commands. Every error names the field.
 
 #include <walkthread/node/documents.hpp>
 
@@ -24,7 +24,7 @@
 constexpr std::size_t max_jobs_in_one_call = 20'000;
 constexpr std::size_t max_runs = 1024;
 
-/// Reads fields of one JSON object and keeps the first error.
+/// Reads fields of a JSON object and records the first error.
 class object_reader
 {
   public:
@@ -102,7 +102,7 @@
             };
             if (std::none_of(known.begin(), known.end(), same))
             {
-                fail(key, "is not known");
+                fail(key, "is unknown");
             }
         }
     }
@@ -150,7 +150,7 @@
                 item.is_string() ? config.find_hall(item.get<std::string>()) : nullptr;
             if (hall == nullptr)
             {
-                reader.fail("halls", "must list names of halls");
+                reader.fail("halls", "must be a list of hall names");
                 break;
             }
             out.halls.push_back(hall->id);
@@ -221,7 +221,7 @@
     }
     if (!runs.is_array() || runs.size() > max_runs)
     {
-        body.fail("runs", "must be a list of at most 1024");
+        body.fail("runs", "must be a list of at most 1024 entries");
         return;
     }
     for (const json& item : runs)
@@ -231,7 +231,7 @@
         const std::optional<run_event> event = read_event(reader.text("state", max_name, true));
         if (!read_run(reader.text("run", max_name, true), status.run) || !event)
         {
-            body.fail("runs", "must have run as job/task/number and a known state");
+            body.fail("runs", "must have entries with a run as job/task/number and a known state");
             return;
         }
         status.event = static_cast<std::uint8_t>(*event);
@@ -242,14 +242,14 @@
         status.stopping = reader.flag("stopping", false);
         if (!reader.error().empty())
         {
-            body.fail("runs", "has a bad entry: " + reader.error());
+            body.fail("runs", "has an invalid entry: " + reader.error());
             return;
         }
         out.runs.push_back(status);
     }
 }
 
-constexpr const char* no_json = "The body is no JSON.";
+constexpr const char* no_json = "The body is not valid JSON.";
 } // namespace
 
 result<put_template, std::string> parse_template(const settings& config, std::string_view text)
@@ -398,11 +398,11 @@
     out.about.size.slots = static_cast<std::int32_t>(size.integer("slots", 0, 0, max_tasks));
     if (out.worker.value() == 0)
     {
-        reader.fail("worker", "must be a number above 0");
+        reader.fail("worker", "must be a positive number");
     }
     if (!size.error().empty())
     {
-        reader.fail("size", "is wrong: " + size.error());
+        reader.fail("size", "is invalid: " + size.error());
     }
     read_runs(reader, out);
     if (!reader.error().empty())
--- a/src/node/endpoint_feed.cpp
+++ b/src/node/endpoint_feed.cpp
@@ -88,7 +88,8 @@
     m_directory.confirm(hall, asked);
 }
 
-// A service is in force while its configuration stands; which endpoints it has is the halls' word.
+// A service exists while its configuration exists and is not withdrawn. Its endpoints are reported by the
+// halls.
 void endpoint_feed::take_services()
 {
     std::map<endpoint_directory::service_key, service_view> services;
--- a/src/node/exchange.cpp
+++ b/src/node/exchange.cpp
@@ -18,7 +18,7 @@
     return to.ip + ':' + std::to_string(to.port);
 }
 
-/// Whether an error proves that no byte of the request was sent.
+/// Whether an error guarantees that no byte of the request was sent.
 bool never_sent(httplib::Error error)
 {
     return error == httplib::Error::Connection || error == httplib::Error::ConnectionTimeout ||
--- a/src/node/hall_events.cpp
+++ b/src/node/hall_events.cpp
@@ -1,4 +1,4 @@
-// What the leader of a hall writes to the time line and counts.
+// Timeline events and metrics of a hall, written by its leader.
 
 #include <walkthread/node/hall_service.hpp>
 
@@ -57,8 +57,8 @@
     {
         for (const worker_epoch& gone : lost->workers)
         {
-            m_log->warn("Worker {} is lost.", gone.worker.value());
-            add_event(event_kind::worker_lost, nullptr, gone.worker, "Its lease ran out.");
+            m_log->warn("Worker {} is lost: its lease expired.", gone.worker.value());
+            add_event(event_kind::worker_lost, nullptr, gone.worker, "Its lease expired.");
         }
     }
     else if (const auto* fresh = std::get_if<register_worker>(&command))
@@ -69,7 +69,8 @@
     {
         for (const worker_id worker : drained->workers)
         {
-            add_event(event_kind::worker_draining, nullptr, worker, drained->draining ? "Leaving." : "Back.");
+            add_event(event_kind::worker_draining, nullptr, worker,
+                      drained->draining ? "Draining." : "Not draining.");
         }
     }
     else if (const auto* admitted = std::get_if<admit_jobs>(&command))
--- a/src/node/hall_renewals.cpp
+++ b/src/node/hall_renewals.cpp
@@ -1,4 +1,4 @@
-// Renewals of workers: leases, reports, and orders to start, stop and throttle.
+// Lease renewals of workers: leases, status reports, and orders to start, stop and throttle runs.
 
 #include <walkthread/node/hall_service.hpp>
 
@@ -26,8 +26,8 @@
     m_core.counters().renewals.Increment();
     if (!m_leading->leases.may_grant(call.worker))
     {
-        handler(not_here_reply{
-            {}, static_cast<int>(node_code::overloaded), "The worker's loss is being recorded."});
+        handler(
+            not_here_reply{{}, static_cast<int>(node_code::overloaded), "The worker's lease has expired."});
         return;
     }
     if (call.epoch.value() == 0)
@@ -67,33 +67,33 @@
     const std::int64_t lease = m_core.config().timing.worker_lease.count();
     register_worker command = call.about;
     command.untold = withdraw_untold(call.worker);
-    propose(
-        command,
-        [this, handler, lease, command](bool committed, const hall_result& answer)
-        {
-            end_withdrawal(command.untold);
-            const monotonic_time now = monotonic_now();
-            if (!committed || !m_leading || !m_core.leads(group_of(m_hall), now))
-            {
-                handler(not_here_reply{
-                    {}, static_cast<int>(node_code::not_leader), "The hall has another leader."});
-                return;
-            }
-            if (answer.code != 0)
+    propose(command,
+            [this, handler, lease, command](bool committed, const hall_result& answer)
             {
-                handler(not_here_reply{{}, answer.code, "Another epoch of this worker may hold a lease."});
-                return;
-            }
-            m_leading->leases.granted(command.worker, now);
-            renew_reply reply;
-            reply.epoch = answer.epoch;
-            reply.lease_ms = lease;
-            handler(std::move(reply));
-        });
+                end_withdrawal(command.untold);
+                const monotonic_time now = monotonic_now();
+                if (!committed || !m_leading || !m_core.leads(group_of(m_hall), now))
+                {
+                    handler(not_here_reply{
+                        {}, static_cast<int>(node_code::not_leader), "The hall's leader has changed."});
+                    return;
+                }
+                if (answer.code != 0)
+                {
+                    handler(not_here_reply{
+                        {}, answer.code, "Another epoch of this worker may still hold a lease."});
+                    return;
+                }
+                m_leading->leases.granted(command.worker, now);
+                renew_reply reply;
+                reply.epoch = answer.epoch;
+                reply.lease_ms = lease;
+                handler(std::move(reply));
+            });
 }
 
 // ---------------------------------------------------------------------------------------------------------
-// What workers report
+// Status reports from workers
 // ---------------------------------------------------------------------------------------------------------
 
 void hall_service::take_statuses(const worker_record& worker, const renew_call& call, monotonic_time now)
@@ -172,7 +172,7 @@
 }
 
 // ---------------------------------------------------------------------------------------------------------
-// What workers are told
+// Orders to workers
 // ---------------------------------------------------------------------------------------------------------
 
 bool hall_service::has_news(const renew_reply& reply)
@@ -208,7 +208,7 @@
     return reply;
 }
 
-// Answers what a worker says of a run.
+// Adds the orders that follow from the reported status of a run.
 void hall_service::answer_status(const worker_record& worker, const run_status& status,
                                  renew_reply& reply) const
 {
@@ -234,7 +234,7 @@
     }
 }
 
-// Tells a worker what to do with a task that is placed on it.
+// Adds the orders for a task that is placed on the worker.
 void hall_service::add_order(const task_id& id, bool told, monotonic_time now, renew_reply& reply)
 {
     const hall_job& job = m_state.jobs().at(id.job);
@@ -258,11 +258,12 @@
     }
     else if (task.state() == task_phase::running && !told)
     {
-        reply.halt.push_back({run, false}); // the worker does not know it any more: it confirms the end
+        reply.halt.push_back({run, false}); // the worker no longer knows the run and will report it as ended
     }
 }
 
-// A service's task is stopped only after the gateways had time to look away and to finish.
+// A task of a service is stopped only after a grace period, in which gateways stop sending requests to it and
+// requests in progress complete.
 std::optional<halt_order> hall_service::halt_for(const task_id& id, const hall_job& job, monotonic_time now)
 {
     const task_record& task = job.tasks[id.index];
--- a/src/node/hall_root.cpp
+++ b/src/node/hall_root.cpp
@@ -1,4 +1,4 @@
-// What a hall's leader does with root: takes jobs, tells ends, and says how full the hall is.
+// Communication of a hall's leader with root: admits jobs, reports ended jobs, and reports the hall's load.
 
 #include <walkthread/node/hall_service.hpp>
 
@@ -112,7 +112,7 @@
                 {
                     if (m_leading && !std::holds_alternative<root_reply>(reply))
                     {
-                        m_leading->root_changed = true; // told again with the next reconciliation
+                        m_leading->root_changed = true; // reported again by the next reconciliation
                     }
                 });
 }
--- a/src/node/hall_service.cpp
+++ b/src/node/hall_service.cpp
@@ -1,6 +1,5 @@
-// The hall's group and the leader's regular duties. What it does with root is in hall_root.cpp,
-// renewals are in hall_renewals.cpp, events in
-// hall_events.cpp.
+// The hall's group and the periodic tasks of its leader. Communication with root is in hall_root.cpp, lease
+// renewals are in hall_renewals.cpp, and events in hall_events.cpp.
 
 #include <walkthread/node/hall_service.hpp>
 
@@ -17,7 +16,7 @@
 {
 constexpr double clock_drift = 0.05;
 constexpr std::size_t placements_per_entry = 512;
-constexpr std::size_t most_placed_known = 20'000; // a minute of the most starts that a cell is designed for
+constexpr std::size_t most_placed_known = 20'000; // starts per minute at the design load of a cell
 constexpr wall_ms first_probe_after = 60'000;
 constexpr std::uint32_t most_probe_doublings = 6;
 } // namespace
@@ -140,7 +139,7 @@
 }
 
 // ---------------------------------------------------------------------------------------------------------
-// Leading
+// Leadership
 // ---------------------------------------------------------------------------------------------------------
 
 void hall_service::tick(monotonic_time now, wall_ms wall)
@@ -189,7 +188,8 @@
             m_leading->service_revision[id] = m_leading->revision;
         }
     }
-    m_log->info("Leading with {} workers and {} jobs.", m_state.workers().size(), m_state.jobs().size());
+    m_log->info("Became leader with {} workers and {} jobs.", m_state.workers().size(),
+                m_state.jobs().size());
 }
 
 void hall_service::stop_leading()
@@ -198,9 +198,9 @@
     for (auto& [worker, parked] : std::exchange(m_parked, {}))
     {
         parked.handler(
-            not_here_reply{{}, static_cast<int>(node_code::not_leader), "The hall has another leader."});
+            not_here_reply{{}, static_cast<int>(node_code::not_leader), "The hall's leader has changed."});
     }
-    m_log->info("Not leading any more.");
+    m_log->info("No longer the leader.");
 }
 
 scheduler_settings hall_service::policy_settings() const
@@ -214,8 +214,8 @@
     return policy;
 }
 
-// A team's quota is divided evenly over the halls, so that a hall decides alone and their sum is never over
-// it.
+// A team's quota is divided evenly among the halls, so that each hall decides on its own and the sum never
+// exceeds the quota.
 std::map<team_id, resources> hall_service::grants() const
 {
     std::map<team_id, resources> out;
@@ -280,9 +280,9 @@
     }
 }
 
-// Runs that this leader placed on a worker and never told it to start, nor will: without this, a job that is
-// not repeatable ended as unknown where its worker's lease ran out before the worker had found the new
-// leader.
+// Returns runs that this leader placed on a worker without ever sending the start order, and prevents that it
+// is sent later. Such runs certainly never started. Otherwise a job that is not repeatable would end with an
+// unknown outcome if its worker's lease expired before the worker found the new leader.
 std::vector<run_id> hall_service::withdraw_untold(worker_id worker)
 {
     std::vector<run_id> out;
@@ -382,7 +382,8 @@
 {
     if (!m_leading)
     {
-        handler(not_here_reply{{}, static_cast<int>(node_code::not_leader), "The leader is not ready yet."});
+        handler(not_here_reply{
+            {}, static_cast<int>(node_code::not_leader), "The leader of the hall is not ready yet."});
         return;
     }
     if (const auto* renewal = std::get_if<renew_call>(&body))
@@ -409,14 +410,16 @@
         propose(value_of(command),
                 [handler](bool committed, const hall_result& answer)
                 {
-                    committed ? handler(hall_reply{answer})
-                              : handler(not_here_reply{
-                                    {}, static_cast<int>(node_code::not_leader), "Not committed."});
+                    committed
+                        ? handler(hall_reply{answer})
+                        : handler(not_here_reply{
+                              {}, static_cast<int>(node_code::not_leader), "The command was not committed."});
                 });
     }
     else
     {
-        handler(not_here_reply{{}, static_cast<int>(node_code::bad_request), "A hall does not answer this."});
+        handler(not_here_reply{
+            {}, static_cast<int>(node_code::bad_request), "A hall does not handle this kind of call."});
     }
 }
 
--- a/src/node/http_host.cpp
+++ b/src/node/http_host.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t overflow_threads = 2;
 constexpr std::size_t requests_per_connection = 10'000;
 
-/// Whether this thread answers connections that found the queue full.
+/// Whether this thread rejects connections that arrived while the queue was full.
 thread_local bool t_overflow = false;
 
 std::string error_body(node_code code, const char* detail)
@@ -26,7 +26,7 @@
     return error_document(static_cast<int>(code), detail);
 }
 
-/// Threads that take jobs from one queue.
+/// Thread pool with one queue of jobs.
 class worker_threads
 {
   public:
@@ -109,7 +109,7 @@
     std::vector<std::thread> m_threads;
 };
 
-/// The HTTP library's task queue, with bounds.
+/// Bounded task queue for the HTTP library.
 class bounded_queue : public httplib::TaskQueue
 {
   public:
@@ -181,7 +181,7 @@
             response.set_header("Retry-After", "1");
             response.set_header("Connection", "close");
             response.set_header("X-Walkthread-Outcome", "not_run");
-            response.set_content(error_body(node_code::overloaded, "Too many connections wait."),
+            response.set_content(error_body(node_code::overloaded, "The connection queue is full."),
                                  "application/json");
             return httplib::Server::HandlerResponse::Handled;
         });
@@ -194,8 +194,8 @@
             }
             const bool large = response.status == http_status::too_large;
             response.set_content(
-                large ? error_body(node_code::too_large, "The body is above the cap.")
-                      : error_body(node_code::bad_request, "No such path, or a request that cannot be read."),
+                large ? error_body(node_code::too_large, "The body exceeds the size limit.")
+                      : error_body(node_code::bad_request, "Unknown path or malformed request."),
                 "application/json");
         });
     server.set_exception_handler(
--- a/src/node/operator_api.cpp
+++ b/src/node/operator_api.cpp
@@ -24,8 +24,8 @@
     const int code = elsewhere == nullptr ? static_cast<int>(node_code::no_leader) : elsewhere->code;
     const bool open = code == static_cast<int>(node_code::timed_out);
     return error_answer(open ? http_status::timed_out : http_status::unavailable, code,
-                        open ? "No answer in time. Resend with the same request id."
-                             : "No leader at the moment.");
+                        open ? "No reply before the timeout. Resend with the same request id."
+                             : "The group has no leader at the moment.");
 }
 
 int status_of(int code)
@@ -73,9 +73,9 @@
     return [this, handler = std::move(handler)](const http_request& request)
     {
         const organisation_settings* who = m_access.operator_of(request.authorization);
-        return who == nullptr
-                   ? error_answer(http_status::unauthorised, node_code::unauthorised, "The token is wrong.")
-                   : handler(*who, request);
+        return who == nullptr ? error_answer(http_status::unauthorised, node_code::unauthorised,
+                                             "The token is missing or wrong.")
+                              : handler(*who, request);
     };
 }
 
@@ -85,7 +85,8 @@
     {
         return m_access.is_admin(request.authorization)
                    ? handler(request)
-                   : error_answer(http_status::unauthorised, node_code::unauthorised, "The token is wrong.");
+                   : error_answer(http_status::unauthorised, node_code::unauthorised,
+                                  "The token is missing or wrong.");
     };
 }
 
@@ -114,7 +115,7 @@
              {
                  return m_healthy ? plain_answer("{\"healthy\":true}")
                                   : error_answer(http_status::unavailable, node_code::stopping,
-                                                 "This process is being stopped.");
+                                                 "This process is shutting down.");
              });
 }
 
@@ -184,7 +185,7 @@
                  if (w == nullptr && !m_access.is_admin(r.authorization))
                  {
                      return error_answer(http_status::unauthorised, node_code::unauthorised,
-                                         "The token is wrong.");
+                                         "The token is missing or wrong.");
                  }
                  return timeline_for(w == nullptr ? organisation_id{} : w->id, r);
              });
@@ -318,8 +319,8 @@
 // Reading
 // ---------------------------------------------------------------------------------------------------------
 
-// Reads at the leader, so that nothing stale is shown; without a leader, or when asked to, from this
-// process's copy.
+// Reads at the leader to avoid stale results. Reads from this process's copy if there is no leader or if the
+// request asks for it with local=true.
 http_answer operator_api::read(const organisation_settings& who, query_kind what, const http_request& request)
 {
     query_call query;
@@ -337,7 +338,7 @@
                                               });
     if (body.empty())
     {
-        return error_answer(http_status::not_found, node_code::not_found, "No such thing here.");
+        return error_answer(http_status::not_found, node_code::not_found, "Not found.");
     }
     http_answer answer = plain_answer(std::move(body));
     if (fresh == nullptr)
@@ -366,7 +367,7 @@
     }
     if (halls.empty())
     {
-        return error_answer(http_status::not_found, node_code::not_found, "No such job here.");
+        return error_answer(http_status::not_found, node_code::not_found, "No such job.");
     }
     return plain_answer(halls.dump());
 }
@@ -414,7 +415,7 @@
     if (hall == nullptr)
     {
         return error_answer(http_status::bad_request, node_code::bad_request,
-                            "Field 'hall' must name a hall.");
+                            "Parameter 'hall' must be the name of a hall.");
     }
     const worker_id worker{static_cast<std::uint32_t>(std::stoul(request.parts[0]))};
     const bool back = text_in(request.query, "back") == "true";
@@ -444,14 +445,16 @@
     return plain_answer(out.dump());
 }
 
-// Adds the newcomer under its new incarnation everywhere; the old one is removed once it votes.
+// Adds the node under its new incarnation to all its groups. The former incarnation is removed once the new
+// one is a voter.
 http_answer operator_api::replace_member(const http_request& request)
 {
     const node_id node{static_cast<std::uint16_t>(std::stoul(request.parts[0]))};
     const incarnation_id incarnation = m_core.network().incarnation_of(node);
     if (incarnation.value() == 0 || m_core.config().find_peer(node) == nullptr)
     {
-        return error_answer(http_status::not_found, node_code::not_found, "That node was not heard of yet.");
+        return error_answer(http_status::not_found, node_code::not_found,
+                            "The node is unknown or has not connected yet.");
     }
     bool changed = false;
     for (const group_id group : m_core.config().groups())
@@ -473,7 +476,7 @@
     }
     return changed ? plain_answer("{}")
                    : error_answer(http_status::conflict, node_code::change_pending,
-                                  "That node is a member under the only incarnation that was heard of.");
+                                  "The node is already a member under its latest known incarnation.");
 }
 
 http_answer operator_api::ready()
@@ -487,7 +490,7 @@
         });
     return ready && m_healthy ? plain_answer("{\"ready\":true}")
                               : error_answer(http_status::unavailable, node_code::no_leader,
-                                             "The configuration is not confirmed.");
+                                             "The configuration has not been confirmed recently.");
 }
 
 } // namespace walkthread
--- a/src/node/peer_network.cpp
+++ b/src/node/peer_network.cpp
@@ -152,7 +152,7 @@
     }
 }
 
-// Waits for something to send and sends all of it at once.
+// Waits for queued frames and sends all of them in one batch.
 bool peer_network::write_batch(int socket, outgoing& out)
 {
     std::string batch;
@@ -250,7 +250,7 @@
             auto body = reader.next();
             if (!ok(body))
             {
-                m_log->warn("Error {}: {} Connection closed.", error_of(body).number(),
+                m_log->warn("Peer message rejected, error {}: {} Connection closed.", error_of(body).number(),
                             error_of(body).detail);
                 good = false;
                 break;
@@ -271,14 +271,15 @@
     auto envelope = decode<peer_envelope>(body);
     if (!ok(envelope))
     {
-        m_log->warn("Error {}: {} Connection closed.", error_of(envelope).number(),
+        m_log->warn("Peer message rejected, error {}: {} Connection closed.", error_of(envelope).number(),
                     error_of(envelope).detail);
         return false;
     }
     auto message = decode<peer_message>(value_of(envelope).message);
     if (!ok(message))
     {
-        m_log->warn("Error {}: {} Connection closed.", error_of(message).number(), error_of(message).detail);
+        m_log->warn("Peer message rejected, error {}: {} Connection closed.", error_of(message).number(),
+                    error_of(message).detail);
         return false;
     }
     if (const auto* greeting = std::get_if<hello>(&value_of(message)))
@@ -286,7 +287,7 @@
         const bool known = m_settings.find_peer(greeting->node) != nullptr;
         if (!known || greeting->secret != m_settings.cell_secret)
         {
-            m_log->warn("A process that is no peer said hello. Connection closed.");
+            m_log->warn("Handshake rejected: unknown node or wrong cell secret. Connection closed.");
             return false;
         }
         from = greeting->node;
@@ -296,7 +297,7 @@
     }
     if (from == node_id{})
     {
-        m_log->warn("A connection did not begin with hello. Connection closed.");
+        m_log->warn("A peer sent a message before the handshake. Connection closed.");
         return false;
     }
     m_events.merge(value_of(envelope).stamp, wall_now());
--- a/src/node/platform_watch.cpp
+++ b/src/node/platform_watch.cpp
@@ -78,7 +78,7 @@
     const httplib::Result answer = client.Get("/v1/hosts");
     if (!answer || answer->status != 200)
     {
-        m_log->debug("The platform does not answer.");
+        m_log->debug("The platform's host list is unavailable.");
         return;
     }
     const auto body = nlohmann::json::parse(answer->body, nullptr, false);
--- a/src/node/process.cpp
+++ b/src/node/process.cpp
@@ -100,7 +100,7 @@
                       if (caller != &organisation)
                       {
                           return error_answer(http_status::unauthorised, node_code::unauthorised,
-                                              "The token is wrong.");
+                                              "The token is missing or wrong.");
                       }
                       return m_router.handle(*caller, request.parts[0], request.idempotency_key,
                                              request.body);
@@ -113,7 +113,7 @@
     m_started = true;
     if (!m_core.start())
     {
-        m_log->error("The peer address cannot be bound.");
+        m_log->error("Cannot bind the peer address.");
         return false;
     }
     for (auto* hosts : {&m_hosts, &m_caller_hosts})
@@ -122,7 +122,7 @@
         {
             if (!host->start())
             {
-                m_log->error("An HTTP address cannot be bound, or the certificate cannot be read.");
+                m_log->error("Cannot bind an HTTP address or read the TLS certificate.");
                 return false;
             }
         }
@@ -145,7 +145,7 @@
     {
         return;
     }
-    m_log->info("Stopping. Health turns false.");
+    m_log->info("Shutting down; reporting unhealthy.");
     m_healthy = false;
     if (!m_caller_hosts.empty() && !m_core.failed())
     {
@@ -155,7 +155,7 @@
     {
         host->stop();
     }
-    m_log->info("No request is in progress.");
+    m_log->info("All requests in progress have completed.");
     if (m_platform)
     {
         m_platform->stop();
--- a/src/node/request_router.cpp
+++ b/src/node/request_router.cpp
@@ -98,7 +98,8 @@
         const routing_code code = m_stopping ? routing_code::stopping
                                   : rate     ? routing_code::over_rate
                                              : routing_code::over_concurrency;
-        return not_run(request, code, "The organisation's limit at this gateway is reached.");
+        return not_run(request, code,
+                       "The gateway is shutting down or the organisation's request limit is reached.");
     }
     m_core.counters().requests_in_progress.Increment();
     http_answer answer = route(request);
@@ -129,7 +130,7 @@
     if (!m_feed.confirmed(monotonic_now()))
     {
         return not_run(request, routing_code::unconfirmed,
-                       "The configuration cannot be confirmed at the moment.");
+                       "The gateway's configuration has not been confirmed recently.");
     }
     const std::optional<service_view> service = m_feed.find_service(request.service);
     if (!service)
@@ -146,7 +147,7 @@
     if (!time)
     {
         return error_answer(http_status::bad_request, static_cast<int>(node_code::bad_key),
-                            "This service needs an Idempotency-Key that is a UUID of version 7.");
+                            "This service requires an Idempotency-Key that is a version 7 UUID.");
     }
     request.key_time = *time;
     return route_claimed(request);
@@ -167,12 +168,12 @@
     const auto* answered = std::get_if<hall_reply>(&reply);
     if (answered == nullptr)
     {
-        // The claim may still be committed. It is this attempt's alone and nothing was sent, so it can be
-        // given up.
+        // The claim may still be committed. It belongs to this attempt and nothing was sent to an endpoint,
+        // so it can be released.
         const bool given_up = settle(request, routed_end{});
         return given_up
                    ? not_run(request, routing_code::no_claim, "The key could not be claimed at the moment.")
-                   : unknown(request, "The key could not be claimed, nor the claim given up.");
+                   : unknown(request, "The key could be neither claimed nor released.");
     }
     const claim_result& claimed = answered->answer.claim;
     if (claimed.code != 0)
@@ -188,7 +189,7 @@
     const bool settled = settle(request, end);
     if (end.outcome == request_outcome::not_run && !settled)
     {
-        return unknown(request, "It was not sent, but the claim could not be given up.");
+        return unknown(request, "The request was not sent, but its key could not be released.");
     }
     return answer_of(request, end);
 }
@@ -198,9 +199,9 @@
     if (kept.status == 0)
     {
         const int code = static_cast<int>(routing_code::answer_not_kept);
-        return with_outcome(
-            error_answer(http_status::gone, code, "It ran; its answer was too long to be kept."),
-            request_outcome::completed);
+        return with_outcome(error_answer(http_status::gone, code,
+                                         "The request completed; its response was too long to be stored."),
+                            request_outcome::completed);
     }
     http_answer answer;
     answer.status = kept.status;
@@ -216,11 +217,14 @@
     switch (code)
     {
     case state_code::key_body_differs:
-        return error_answer(http_status::unprocessable, refused.code, "The key was used with another body.");
+        return error_answer(http_status::unprocessable, refused.code,
+                            "The key was already used with a different body.");
     case state_code::key_expired:
-        return error_answer(http_status::unprocessable, refused.code, "The key is older than the window.");
+        return error_answer(http_status::unprocessable, refused.code,
+                            "The key is older than the idempotency window.");
     case state_code::key_from_future:
-        return error_answer(http_status::unprocessable, refused.code, "The key's time lies ahead.");
+        return error_answer(http_status::unprocessable, refused.code,
+                            "The time stamp of the key is in the future.");
     case state_code::claim_held:
     {
         http_answer answer =
@@ -230,11 +234,11 @@
         return with_outcome(std::move(answer), request_outcome::unknown);
     }
     default:
-        return unknown(request, "Whether it ran is not known.");
+        return unknown(request, "Whether the request ran is unknown.");
     }
 }
 
-// Records how a claimed request ended; says whether that is committed.
+// Records the outcome of a claimed request. Returns whether the record was committed.
 bool request_router::settle(const routed_request& request, const routed_end& end)
 {
     settle_claim settled{request.caller.id, request.key, request.attempt, phase_of(end.outcome), 0, {}, 0, 0};
@@ -325,11 +329,11 @@
     note(event_kind::request_ended, request, to_string(end.outcome));
     if (end.outcome == request_outcome::not_run)
     {
-        return not_run(request, end.reason, "No endpoint took the request; nothing was run.");
+        return not_run(request, end.reason, "No endpoint accepted the request; it did not run.");
     }
     if (end.outcome == request_outcome::unknown)
     {
-        return unknown(request, "It was sent, and no whole answer came.");
+        return unknown(request, "The request was sent, but no complete response was received.");
     }
     const double left = std::chrono::duration<double>(request.deadline - monotonic_now()).count();
     const double whole = std::chrono::duration<double>(m_core.config().timing.request).count();
--- a/src/node/root_service.cpp
+++ b/src/node/root_service.cpp
@@ -89,7 +89,7 @@
 }
 
 // ---------------------------------------------------------------------------------------------------------
-// The leader's duties
+// Leader
 // ---------------------------------------------------------------------------------------------------------
 
 void root_service::handle(const call_body& body, const reply_handler& handler)
@@ -113,7 +113,8 @@
     }
     else
     {
-        handler(not_here_reply{{}, static_cast<int>(node_code::bad_request), "Root does not answer this."});
+        handler(not_here_reply{
+            {}, static_cast<int>(node_code::bad_request), "Root does not handle this kind of call."});
     }
 }
 
@@ -141,8 +142,8 @@
         auto answer = bytes ? decode<root_result>(*bytes) : result<root_result, wire_error>{wire_error{}};
         if (!ok(answer))
         {
-            handler(
-                not_here_reply{{}, static_cast<int>(node_code::not_leader), "The entry was not committed."});
+            handler(not_here_reply{
+                {}, static_cast<int>(node_code::not_leader), "The command was not committed."});
             return;
         }
         handler(root_reply{value_of(answer)});
@@ -176,7 +177,7 @@
     const auto shape = m_state.templates().find({organisation, template_name});
     if (shape == m_state.templates().end())
     {
-        return done{}; // the state refuses it, with the reason
+        return done{}; // the state machine rejects the command with the reason
     }
     const parameters values = merge(shape->second.defaults, given_values, given);
     auto chosen = choose_halls(m_halls, shape->second.workload(), values);
--- a/src/node/worker_api.cpp
+++ b/src/node/worker_api.cpp
@@ -33,14 +33,15 @@
 {
     if (!m_access.is_worker(request.authorization))
     {
-        return error_answer(http_status::unauthorised, node_code::unauthorised, "The token is wrong.");
+        return error_answer(http_status::unauthorised, node_code::unauthorised,
+                            "The token is missing or wrong.");
     }
     const hall_settings* hall = m_core.config().find_hall(request.parts[0]);
     auto parsed = parse_renewal(request.body);
     if (hall == nullptr || !ok(parsed))
     {
         return error_answer(http_status::bad_request, node_code::bad_request,
-                            hall == nullptr ? "No such hall." : error_of(parsed));
+                            hall == nullptr ? "Unknown hall." : error_of(parsed));
     }
     renew_call& call = value_of(parsed);
     call.wait_ms = std::min<std::int64_t>(call.wait_ms, m_core.config().timing.worker_poll.count());
--- a/tests/src/unit-calls.cpp
+++ b/tests/src/unit-calls.cpp
@@ -20,7 +20,7 @@
 constexpr node_id callee{2};
 constexpr milliseconds call_time{20'000};
 
-// A port of the loopback that is free now.
+// A currently unused loopback port.
 std::uint16_t free_port()
 {
     boost::asio::io_context loop;
@@ -39,7 +39,8 @@
     return out;
 }
 
-// Answers each call twice over: first under the id of another one, if there is one, then under its own.
+// A peer that does not answer its first call. It answers each later, different call twice: first with the id
+// of the first call, then with the id of the call itself.
 class answering_process
 {
   public:
@@ -59,7 +60,7 @@
     answering_process(const answering_process&) = delete;
     answering_process& operator=(const answering_process&) = delete;
 
-    // The first call that comes is not answered.
+    // The first call received is never answered.
     void wait_for_first_call()
     {
         m_first_call.get_future().wait();
@@ -83,8 +84,10 @@
         else if (!known_body)
         {
             m_network.send(
-                from, reply_frame{m_first->id, encode(reply_body{document_reply{"of the former life"}})});
-            m_network.send(from, reply_frame{call->id, encode(reply_body{document_reply{"its own"}})});
+                from, reply_frame{m_first->id,
+                                  encode(reply_body{document_reply{"reply to the former incarnation"}})});
+            m_network.send(from,
+                           reply_frame{call->id, encode(reply_body{document_reply{"reply to this call"}})});
         }
     }
 
@@ -105,7 +108,8 @@
 }
 } // namespace
 
-// A process that was killed and starts again soon: replies to its former life still come.
+// A process is killed and restarts soon after. Replies to calls of its former incarnation still arrive and
+// must not be taken for replies to new calls.
 BOOST_AUTO_TEST_CASE(a_reply_to_the_former_life_answers_no_call_of_the_next)
 {
     const std::uint16_t caller_port = free_port();
@@ -124,5 +128,5 @@
     BOOST_REQUIRE(next.start());
     const reply_body reply = next.ask_node(callee, root_group, question(2), call_time);
     BOOST_REQUIRE(std::holds_alternative<document_reply>(reply));
-    BOOST_TEST(std::get<document_reply>(reply).json == "its own");
+    BOOST_TEST(std::get<document_reply>(reply).json == "reply to this call");
 }
--- a/tests/src/unit-clock.cpp
+++ b/tests/src/unit-clock.cpp
@@ -8,8 +8,8 @@
 
 using namespace walkthread;
 
-// This program's readings of clocks come by here, so that its machine can seem to have been suspended: the
-// steady clock stood still meanwhile, the others went on.
+// Replaces clock_gettime in this program to simulate a suspended machine: CLOCK_MONOTONIC stops meanwhile,
+// the other clocks advance.
 namespace
 {
 std::int64_t suspended_s = 0;
@@ -22,8 +22,8 @@
     return outcome;
 }
 
-// A leader's lease, patience and idle times are reckoned by this clock: with one that stands still, a leader
-// that wakes up answers as if nobody had taken over.
+// Leases, timeouts and idle times are measured with this clock. If it stopped during a suspension, a leader
+// that resumes would act as if its lease were still valid, although another leader may have taken over.
 BOOST_AUTO_TEST_CASE(time_passes_while_a_machine_is_suspended)
 {
     const monotonic_time before = monotonic_now();
