--- a/include/walkthread/node/hall_service.hpp
+++ b/include/walkthread/node/hall_service.hpp
@@ -56,7 +56,7 @@
         std::set<std::pair<run_id, std::uint8_t>> reported; ///< queued or proposed, not applied yet
         std::set<run_id> over_size;                         ///< runs to throttle
         std::set<run_id> placed;                            ///< placed by this leader
-        std::set<run_id> told;                      ///< runs whose start order was in a reply of this leader
+        std::set<run_id> start_sent;                ///< runs whose start order was in a reply of this leader
         std::set<run_id> withdrawn;                 ///< reported as never started; commit pending
         std::map<run_id, monotonic_time> stop_seen; ///< when this leader first saw the stop
         std::map<job_id, std::uint64_t> service_revision;
--- a/src/node/hall_renewals.cpp
+++ b/src/node/hall_renewals.cpp
@@ -250,7 +250,7 @@
     }
     else if (task.state() == task_phase::placed && !told && !m_leading->withdrawn.contains(run))
     {
-        m_leading->told.insert(run);
+        m_leading->start_sent.insert(run);
         const auto& organisations = m_core.config().organisations;
         const std::string& organisation = organisations.at(job.spec.organisation.value() - 1U).name;
         reply.start.push_back({run, job.spec.name, organisation, job.spec.kind, job.spec.values.size,
--- a/src/node/hall_service.cpp
+++ b/src/node/hall_service.cpp
@@ -272,7 +272,7 @@
                    job->second.tasks[run.task.index].state() != task_phase::placed;
         };
         std::erase_if(m_leading->placed, over);
-        std::erase_if(m_leading->told, over);
+        std::erase_if(m_leading->start_sent, over);
     }
     for (const placement& made : command.placements)
     {
@@ -295,7 +295,7 @@
     {
         const task_record& task = m_state.jobs().at(id.job).tasks[id.index];
         const run_id run{id, task.run};
-        const bool untold = m_leading->placed.contains(run) && !m_leading->told.contains(run);
+        const bool untold = m_leading->placed.contains(run) && !m_leading->start_sent.contains(run);
         if (task.state() == task_phase::placed && untold)
         {
             out.push_back(run);
--- a/src/node/operator_api.cpp
+++ b/src/node/operator_api.cpp
@@ -400,9 +400,9 @@
         const reply_body reply = m_core.ask(group_of(hall.id), query, query_timeout);
         if (const auto* document = std::get_if<document_reply>(&reply))
         {
-            for (auto& host : nlohmann::json::parse(document->json))
+            for (auto& entry : nlohmann::json::parse(document->json))
             {
-                out.push_back(std::move(host));
+                out.push_back(std::move(entry));
             }
         }
     }
