--- a/bench/bench_capacity.cpp
+++ b/bench/bench_capacity.cpp
@@ -1,4 +1,4 @@
-// State sizes: memory and snapshot bytes of a hall and of root, for docs/CAPACITY.md.
+// Memory use and snapshot size of hall and root state, for docs/CAPACITY.md.
 
 #include <benchmark/benchmark.h>
 
@@ -18,7 +18,7 @@
     return mallinfo2().uordblks;
 }
 
-// A hall with its scheduler, eight tasks a worker: what its leader holds.
+// State held by a hall's leader: the hall and its scheduler, with eight tasks per worker.
 void hall_memory(benchmark::State& bench)
 {
     const auto workers = static_cast<std::uint32_t>(bench.range(0));
@@ -36,7 +36,7 @@
     bench.counters["snapshot_kb"] = encoded / 1000;
 }
 
-// Root with configurations, each with one job, and the request ids of their changes.
+// Root state: configurations with one job each, and the request ids of their changes.
 void root_memory(benchmark::State& bench)
 {
     const std::int64_t configurations = bench.range(0);
@@ -70,7 +70,7 @@
     bench.counters["snapshot_kb"] = encoded / 1000;
 }
 
-// Claims of not-repeatable requests with a 100-byte answer each.
+// Claims of not-repeatable requests, each with a 100-byte response.
 void claim_memory(benchmark::State& bench)
 {
     const std::int64_t claims = bench.range(0);
--- a/bench/measure_cell.py
+++ b/bench/measure_cell.py
@@ -1,4 +1,4 @@
-"""Measures what control costs in real processes, as slopes for docs/CAPACITY.md. Prints one JSON document.
+"""Measures the control-plane overhead of real processes, for the slopes in docs/CAPACITY.md. Prints one JSON document.
 
 Usage: python3 bench/measure_cell.py BUILD_FOLDER > run.json
 """
@@ -33,7 +33,7 @@
 
 
 class Usage:
-    """What the daemons used between two moments."""
+    """Resource usage of the daemons since this object was created."""
 
     def __init__(self, cell):
         self.cell, self.at = cell, time.monotonic()
@@ -52,7 +52,7 @@
 
 
 class Swarm:
-    """Workers that only speak: they renew when told to, over kept-alive connections, and count bytes."""
+    """Protocol-only workers: they run nothing, renew on request over keep-alive connections, and count bytes."""
 
     def __init__(self, cell, count, slots=8):
         self.cell, self.bytes, self.exchanges = cell, 0, 0
@@ -124,7 +124,7 @@
 
 
 def tasks(cell, swarm, count):
-    """Whole lives of tasks: placed, started, ended, forgotten."""
+    """Measures complete task life cycles, from placement to removal of the record."""
     usage, began, exchanges = Usage(cell), swarm.bytes, swarm.exchanges
     name = "life-%d" % count
     status, _, answer = cell.submit("aarhus", name, "small", tasks=count)
@@ -145,7 +145,7 @@
 
 
 def placements(cell, count):
-    """Committed placements a second: a job is placed on hosts that have room for all of it."""
+    """Committed placements per second, for a job that fits entirely on the free hosts."""
     before = sum(cell.metric(n, "walkthread_placements_total") for n in cell.nodes)
     usage = Usage(cell)
     status, _, answer = cell.submit("aarhus", "burst-%d" % count, "tiny", tasks=count)
--- a/bench/measure_recovery.py
+++ b/bench/measure_recovery.py
@@ -1,4 +1,4 @@
-"""Measures the time without a root leader after a kill, a freeze and a silent cut, at the default settings.
+"""Measures the time without a root leader after a kill, a freeze and a silent network partition, with default settings.
 
 Usage: python3 bench/measure_recovery.py BUILD_FOLDER
 """
@@ -44,7 +44,7 @@
                 times.append(time.monotonic() - began)
                 mend(cell, leader)
                 cell.wait_ready()
-            print("%-10s command accepted again after %.2f s median, %.2f s at most (%d times; election timeout 1 s)"
+            print("%-10s commands accepted again after %.2f s (median), %.2f s (maximum) in %d runs; election timeout 1 s"
                   % (name, statistics.median(times), max(times), REPEATS), flush=True)
     finally:
         cell.stop()
--- a/tests/fakes/cell.py
+++ b/tests/fakes/cell.py
@@ -1,4 +1,4 @@
-"""A small cell on loopback for tests and the demo: real daemons, with stand-ins for all that is outside."""
+"""A small cell on loopback for tests and the demo: real daemons, with fakes for the platform, workers and callers."""
 
 import hashlib
 import http.client
@@ -39,18 +39,18 @@
 
 
 def wait_for(what, seconds=30, step=0.05):
-    """Waits until a condition holds; the time is only a bound for a hanging test."""
+    """Waits until a condition holds; the timeout only ends a hanging test."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         value = what()
         if value:
             return value
         time.sleep(step)
-    raise AssertionError("Waited %s s in vain for %s." % (seconds, getattr(what, "__name__", what)))
+    raise AssertionError("Timed out after %s s waiting for %s." % (seconds, getattr(what, "__name__", what)))
 
 
 class Node:
-    """One daemon."""
+    """One daemon process, with its ports, settings and log."""
 
     def __init__(self, cell, number):
         self.cell, self.number = cell, number
@@ -88,7 +88,7 @@
 
 
 class Cell:
-    """Daemons, workers, a platform and operators' and callers' requests."""
+    """Daemons, workers and a platform, and methods that send requests of operators and callers."""
 
     def __init__(self, build, nodes=3, halls=("santiago-1", "aarhus-1"), timing=None, with_relays=False, limits=None,
                  gateways=0):
@@ -141,7 +141,7 @@
                 self.workers.append(Worker(number, hall, 1 + i // rack_size, gateways, TOKENS["worker"], self.records,
                                            fails=number in fails, wait_ms=self.timing["worker_poll_ms"]))
         wait_for(lambda: len(self.operate("admin", "GET", "/v1/hosts")[2]) == len(self.workers))
-        time.sleep(1.5)  # halls tell root every second how large they are; before that, jobs go to those that did
+        time.sleep(1.5)  # halls report their capacity to root every second; root gives jobs only to halls that have reported
 
     # Requests ---------------------------------------------------------------------------------------------
 
@@ -156,7 +156,7 @@
             connection.close()
 
     def operate(self, who, method, path, body=None, node=None, tries=100):
-        """An operator's command, resent until it is answered."""
+        """Sends an operator's command, and resends it until there is a definite answer."""
         for attempt in range(tries):
             at = node or self.nodes[attempt % len(self.nodes)]
             try:
@@ -166,7 +166,7 @@
             if status not in (0, 503, 504):
                 return status, headers, json.loads(text)
             time.sleep(0.1)
-        raise AssertionError("No answer to %s %s." % (method, path))
+        raise AssertionError("No definite answer to %s %s." % (method, path))
 
     def template(self, who, name, kind, repeatable=True, **defaults):
         limits = {**defaults, "tasks": 1000, "cpu_millicores": 64000, "memory_mib": 262144, "run_seconds": 86400}
@@ -184,7 +184,7 @@
         return {job["job"]: job for job in self.operate(who, "GET", "/v1/jobs")[2]}
 
     def call(self, who, service, body, key=None, node=None, timeout=15):
-        """A caller's request: outcome, status, body. A broken connection counts as no answer."""
+        """Sends a caller's request; returns outcome, status and body. A broken connection gives the outcome "no answer"."""
         at = node or random.choice([n for n in self.nodes if n.runs])
         headers = {"Idempotency-Key": key} if key else {}
         try:
@@ -195,7 +195,7 @@
         return back.get("X-Walkthread-Outcome", "error"), status, text
 
     def leader(self, group=0):
-        """The node that leads a group and says so itself."""
+        """The node that itself reports to be the leader of a group, or None."""
         for node in self.nodes:
             if not node.runs:
                 continue
@@ -242,7 +242,7 @@
         return codes
 
     def keep(self, name):
-        """Copies the daemons' logs, their time line and the stand-ins' records into the build folder."""
+        """Copies the daemons' logs, their timeline and the records of the fakes into the build folder."""
         kept = os.path.join(self.build, "kept", "%s-%d" % (name, os.getpid()))
         os.makedirs(kept)
         for path in [node.log for node in self.nodes] + [os.path.join(self.folder, "records.txt")]:
@@ -250,7 +250,7 @@
         try:
             timeline = self.operate("admin", "GET", "/v1/timeline", tries=6)[2]
         except (AssertionError, ValueError) as error:
-            timeline = ["No time line: %s" % error]
+            timeline = ["Timeline not available: %s" % error]
         with open(os.path.join(kept, "timeline.txt"), "w") as f:
             f.writelines("%s\n" % event for event in timeline)
         return kept
@@ -260,7 +260,7 @@
 
 
 class Callers:
-    """Callers that send requests in the background and write down every outcome."""
+    """Callers that send requests in background threads and record every outcome."""
 
     def __init__(self, cell, who, service, count, threads=4, keyed=False, pause=0.0):
         self.cell, self.who, self.service, self.keyed, self.pause = cell, who, service, keyed, pause
--- a/tests/fakes/demo.py
+++ b/tests/fakes/demo.py
@@ -1,4 +1,4 @@
-"""The demo: both organisations' work through a small cell, with the root leader killed once on the way."""
+"""The demo: runs jobs and services of both organisations on a small cell, and kills the root leader once meanwhile."""
 
 import statistics
 import sys
@@ -50,7 +50,7 @@
                Callers(cell, "aarhus", "balance", REQUESTS, pause=0.02)]
     time.sleep(0.5)
     leader = cell.leader()
-    print("Killing node %d, which leads root." % leader.number, flush=True)
+    print("Killing node %d, the leader of the root group." % leader.number, flush=True)
     leader.kill()
     time.sleep(1)
     leader.start()
@@ -76,17 +76,17 @@
     overlaps = cell.records.overlaps() + list(cell.records.started_twice({"monday-grid", "annual"}))
     print("jobs accepted         %d (%d of them services)" % (len(accepted), 2))
     print("jobs completed        %d of 4" % (len(ended) - len(lost)))
-    print("task starts           %d, none twice: %s" % (len(starts), not overlaps))
+    print("task starts           %d, no task twice: %s" % (len(starts), not overlaps))
     print("requests              %d, completed %d, unknown %d" % (len(outcomes), len(seconds), len(open_ends)))
     print("request time          p50 %.1f ms, p99 %.1f ms (with one leader killed)"
           % (1000 * statistics.median(seconds), 1000 * percentile(seconds, 0.99)))
-    print("solve verify twice    %d" % twice)
+    print("solve run twice       %d" % twice)
     print("wrong answers         %d" % len(wrong))
-    print("packing at the end    %.0f%% of 12 hosts' cores hold services" % (100 * placed / (12 * 16000)))
+    print("packing at the end    %.0f%% of the cores of 12 hosts reserved for services" % (100 * placed / (12 * 16000)))
     print("control bytes         %.0f KB sent between the processes" % (control_bytes / 1000))
     print("daemons' exit codes   %s" % codes)
     bad = lost or twice or wrong or overlaps or cell.records.over_size() or any(codes)
-    print("FAILED" if bad else "Nothing was lost, and nothing ran twice.")
+    print("FAILED" if bad else "No job was lost, and nothing ran twice.")
     return 1 if bad else 0
 
 
--- a/tests/fakes/host_list.py
+++ b/tests/fakes/host_list.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform: its lagging list of live and leaving hosts."""
+"""A fake of the platform: serves its list of live and leaving hosts, which may lag."""
 
 import json
 import threading
--- a/tests/fakes/platform_cell.py
+++ b/tests/fakes/platform_cell.py
@@ -1,6 +1,6 @@
-"""Stand-ins of the users' platform for process tests: workers, the placement advisor, an operator and callers.
+"""Fakes of the users' platform for process tests: workers, the placement advisor, an operator and callers.
 
-Small, and written from the platform's published protocol only. Workers write down themselves what they started.
+They implement only the platform's published protocol. Workers keep their own record of the runs they started.
 """
 
 import http.client
@@ -17,18 +17,18 @@
 from ports import free_port
 
 HOST, PREFIX = "example.test", "/q/"
-WORKER_CPU = 16000  # thousandths of a core
-FALL_S, RESTART_S = 0.01, 2.0  # a task takes its worker down that soon; the worker's next life comes that much later
-LATE_S = (2.0, 4.0)  # after which an order that got no answer is carried out; the platform's are 2 to 12
+WORKER_CPU = 16000  # millicores
+FALL_S, RESTART_S = 0.01, 2.0  # delay until a task crashes its worker; delay until the worker's next incarnation
+LATE_S = (2.0, 4.0)  # delay of an unanswered order's execution; on the platform it is 2 to 12 s
 
 
 def loopback(number):
-    """Each process has an address of its own, as machines do; all are of the loopback."""
+    """A loopback address per process, as each would have a machine of its own."""
     return "127.0.0.%d" % (10 + number)
 
 
 def call(address, method, path, body=None, headers=None, timeout=4.0):
-    """One exchange; (status, document), or (None, None) if none came whole."""
+    """Sends one request; returns (status, document), or (None, None) if no complete response arrived."""
     host, port = address.rsplit(":", 1)
     connection = http.client.HTTPConnection(host, int(port), timeout=timeout)
     try:
@@ -43,8 +43,8 @@
 
 
 class Server:
-    """An HTTP server in threads; `handle(method, path, headers, body)` gives status and document, or no status: then the
-    connection ends without an answer."""
+    """A multi-threaded HTTP server. `handle(method, path, headers, body)` returns status and document; if the status is None,
+    the connection is closed without a response."""
 
     def __init__(self, handle):
         class Handler(http.server.BaseHTTPRequestHandler):
@@ -64,7 +64,7 @@
                 try:
                     self.wfile.write(out)
                 except BrokenPipeError:
-                    pass  # who asked was killed meanwhile
+                    pass  # the client was killed meanwhile
 
             do_GET = do_POST = do_PUT = do_DELETE = answer
 
@@ -82,11 +82,11 @@
 
 
 class Worker:
-    """One worker's life. Room, lease, fence, run numbers and tickets as the protocol tells."""
+    """One incarnation of a worker. Implements capacity, lease, fencing token, run ids and tickets of the protocol."""
 
     def __init__(self, cell, number, life=None):
         self.cell, self.number = cell, number
-        self.life = life or "i-%08x" % number  # its id: the next life may keep it
+        self.life = life or "i-%08x" % number  # its id; the next incarnation may keep it
         self.born, self.zero = int(time.time() * 1000), time.monotonic()
         self.lock = threading.Condition()
         self.fence = self.until = 0
@@ -99,7 +99,7 @@
         threading.Thread(target=self.beat, daemon=True).start()
 
     def clock(self):
-        """Begins anew with each life."""
+        """Milliseconds since the start of this incarnation."""
         return int((time.monotonic() - self.zero) * 1000)
 
     def handle(self, _method, path, headers, body):
@@ -156,15 +156,15 @@
         return 200, {"clock-ms": self.clock()}
 
     def check_start(self, task):
-        """What must hold on this worker and beside the others that are up."""
+        """Records a violation if this worker is overcommitted or another live worker runs the same task."""
         used = sum(self.cell.cpu_of(t) for t, _ in self.running) + self.cell.cpu_of(task)
         if used > WORKER_CPU:
-            self.cell.violations.append("%s holds %d of %d with %s" % (self.life, used, WORKER_CPU, task))
+            self.cell.violations.append("%s is overcommitted: %d of %d millicores with %s" % (self.life, used, WORKER_CPU, task))
         for other in self.cell.workers + self.cell.leavers:
             if other is not self and other.live and other.clock() <= other.until:
                 for t, run in list(other.running):
                     if t == task:
-                        self.cell.violations.append("%s runs on %s and %s at once" % (task, self.life, other.life))
+                        self.cell.violations.append("%s runs on %s and %s at the same time" % (task, self.life, other.life))
 
     def complete(self, key):
         with self.lock:
@@ -172,7 +172,7 @@
                 self.end(key, "done" if self.clock() <= self.until else "lapsed")
 
     def crash(self, next_life):
-        """This life ends with all that runs; another of the same host follows, under its id or another."""
+        """Ends this incarnation with all its runs, and starts the next one on the same host, under the given id."""
         self.go_down()
         return Worker(self.cell, self.number, next_life)
 
@@ -186,7 +186,7 @@
         self.server.close()
 
     def fall(self):
-        """A task took it down; its next life comes some seconds later, unless another one came meanwhile."""
+        """Crashes under a task; the next incarnation starts RESTART_S later, unless another one has started meanwhile."""
         if self.live:
             self.go_down()
             returning = threading.Timer(RESTART_S, self.come_back)
@@ -198,7 +198,7 @@
             self.cell.workers[self.cell.workers.index(self)] = Worker(self.cell, self.number, random.choice([self.life, self.life + "a"]))
 
     def leave(self, next_life, linger_s):
-        """Says that it leaves while another host's worker comes for it, keeps serving for a while, and ends."""
+        """Announces that it leaves, keeps serving for a while, and ends. Returns the worker on another host that replaces it."""
         self.draining = True
         self.report()
         ending = threading.Timer(linger_s, self.finish)
@@ -265,16 +265,16 @@
 
 
 class PlatformCell:
-    """Core and edge processes with their settings, workers and an advisor."""
+    """Core and edge processes with their settings, workers and a placement advisor."""
 
     def __init__(self, build, cores=3, edges=2, workers=4, run_seconds=0.3):
         self.program = os.path.join(build, "walkthread-platformd")
         self.folder = tempfile.mkdtemp(prefix="walkthread-platform-")
         self.run_seconds = run_seconds
         self.starts, self.done, self.noted, self.violations, self.tickets, self.workers = [], [], [], [], {}, []
-        self.orders, self.leaving = [], {}  # starts that were not carried out late; when leaving was acknowledged
-        self.crashes = {}  # how many workers went down under a task
-        self.hosts, self.leavers = workers, []  # leavers: workers that leave, while others have come for them
+        self.orders, self.leaving = [], {}  # starts that were executed without delay; time at which each leaving was acknowledged
+        self.crashes = {}  # number of workers that crashed while running each task
+        self.hosts, self.leavers = workers, []  # leavers: workers that are leaving and have been replaced
         self.processes, self.logs = {}, {}
         self.peer, self.control, self.front, self.ready = (free_port() for _ in range(4))
         self.cores, self.edges = list(range(1, cores + 1)), list(range(cores + 1, cores + edges + 1))
@@ -284,23 +284,23 @@
         self.workers = [Worker(self, n) for n in range(workers)]
 
     def reachable(self, address):
-        """Where others find a worker that listens there."""
+        """The address under which others reach a worker that listens at `address`."""
         return address
 
     def cpu_of(self, _task):
-        """Thousandths of a core that a task takes, where the test knows."""
+        """Millicores that a task uses; 0 if the test does not know."""
         return 0
 
     def lasts(self, _task):
-        """Whether a task runs until it is stopped, where the test knows."""
+        """Whether a task runs until it is stopped; false if the test does not know."""
         return False
 
     def crashes_worker(self, _task):
-        """Whether a task takes down each worker that starts it."""
+        """Whether a task crashes each worker that starts it."""
         return False
 
     def next_host(self):
-        """The number of a host that was not there before."""
+        """The number of a new host."""
         self.hosts += 1
         return self.hosts
 
@@ -313,10 +313,10 @@
         return 200, {"good": good, "validity-ms": 1500}
 
     def limit_process(self):
-        """Run in each new process before its program: a test may lower limits of the system there."""
+        """Runs in each new process before exec; a test may lower resource limits here."""
 
     def own_settings(self, number):
-        """Lines of walkthread's own settings, which the platform does not give."""
+        """Settings of walkthread itself, which the platform does not provide, as lines."""
         return []
 
     def settings(self, number, founding):
@@ -350,7 +350,7 @@
         return ["%s:%d" % (loopback(n), self.control) for n in self.cores]
 
     def metrics(self, number):
-        """A core process's page of metrics; empty if none came."""
+        """The metrics page of a core process; empty if there was no response."""
         host = http.client.HTTPConnection(loopback(number), self.control, timeout=2)
         try:
             host.request("GET", "/metrics")
@@ -361,8 +361,8 @@
             host.close()
 
     def leader(self):
-        """The core process that says it leads, or None."""
-        # The line of the value itself: the line of its help begins with the same words.
+        """The core process that reports to be the leader, or None."""
+        # Match the value's line; the metric's help line contains the same name.
         return next((n for n in self.cores if "\nwalkthread_leads 1\n" in self.metrics(n)), None)
 
     def configure(self, version=1, prefix=PREFIX):
@@ -381,7 +381,7 @@
         return call("%s:%d" % (loopback(edge), self.front), method, PREFIX + submission, body, {"Host": HOST})
 
     def submit(self, submission, steps):
-        """Sends until it is taken; the same id each time."""
+        """Sends a submission, with the same id each time, until it is accepted."""
         return wait_for(lambda: self.ask("POST", submission, {"spec": "text", "steps": steps})[0] == 200, 30)
 
     def state(self, submission):
@@ -389,7 +389,7 @@
         return answer["state"] if status == 200 else None
 
     def overlaps(self):
-        """Tasks that were started again after a run of them was done, from the workers' own records."""
+        """Starts of tasks of which an earlier run was done already, from the workers' own records."""
         return [s for s in self.starts for d in self.done if s[0] == d[0] and s[1] > d[1] and s[3] > d[2]]
 
     def stop(self):
@@ -403,11 +403,11 @@
 
 
 def wait_for(condition, seconds):
-    """Waits until a condition gives something true, and gives it; fails after so long."""
+    """Waits until a condition returns a true value, and returns it; fails after `seconds`."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         value = condition()
         if value:
             return value
         time.sleep(0.05)
-    raise AssertionError("Not within %d s." % seconds)
+    raise AssertionError("The condition did not hold within %d s." % seconds)
--- a/tests/fakes/ports.py
+++ b/tests/fakes/ports.py
@@ -1,12 +1,12 @@
-"""Ports for cells that run side by side."""
+"""Port allocation for cells that run in parallel."""
 
 import fcntl
 import os
 import socket
 import tempfile
 
-# Below the range from which the system takes those of outgoing connections, so that a process that was stopped finds its
-# port free when it starts again; each test process has a block of its own while it lives.
+# Below the ephemeral port range, so that no outgoing connection takes the port of a stopped process before it restarts. Each
+# test process locks a block of its own until it exits.
 FIRST_PORT, BLOCK, BLOCKS = 10000, 100, 220
 held_lock = None
 own_block = 0
@@ -14,7 +14,7 @@
 
 
 def lock_block(start):
-    """The first block from `start` on that no other test process holds, and the lock that holds it."""
+    """Locks the first free block from `start` on; returns the block and its lock file."""
     for number in range(start, start + BLOCKS):
         block = number % BLOCKS
         lock = open(os.path.join(tempfile.gettempdir(), "walkthread-ports-%d.lock" % block), "w")
@@ -27,7 +27,7 @@
 
 
 def free_port():
-    """A port that nobody uses now at any address of this machine."""
+    """A port that is currently free on every address of this machine."""
     global held_lock, own_block, next_port
     if held_lock is None:
         own_block, held_lock = lock_block(os.getpid())
--- a/tests/fakes/records.py
+++ b/tests/fakes/records.py
@@ -1,4 +1,4 @@
-"""What stand-ins write down: one line an event, with the machine's monotonic clock, so that tests can compare."""
+"""Event records of the fakes: one line per event, timed by the machine's monotonic clock so that tests can compare them."""
 
 import threading
 import time
@@ -23,8 +23,8 @@
             return [e for e in self.events if e["kind"] == kind and all(e.get(k) == v for k, v in fields.items())]
 
     def overlaps(self):
-        """Runs of one task that were in two places at once: pairs of starts whose spans overlap. Each start counts, also two
-        of one run. A service is divided among halls, which number their tasks alike: there a task is one of its hall."""
+        """Pairs of runs of one task whose time spans overlap. Every start counts, also a second start of the same run. Halls
+        that share a service use the same task numbers, so a service's task is identified by its hall as well."""
         with self._lock:
             events = list(self.events)
         by_task, open_spans = {}, {}
@@ -46,7 +46,7 @@
         return bad
 
     def started_twice(self, not_repeatable):
-        """Tasks of not-repeatable jobs that were started more than once."""
+        """Tasks of not-repeatable jobs that were started more than once, with their runs."""
         starts = {}
         for event in self.find("start"):
             job, task, _ = event["run"].split("/")
@@ -55,7 +55,7 @@
         return {task: runs for task, runs in starts.items() if len(runs) > 1}
 
     def over_size(self):
-        """Hosts that were given more than they have at some time."""
+        """Hosts that were overcommitted at any time."""
         with self._lock:
             events = list(self.events)
         used, sizes, running, bad = {}, {}, {}, set()
--- a/tests/fakes/relay.py
+++ b/tests/fakes/relay.py
@@ -1,4 +1,4 @@
-"""A relay between two processes that can be cut without a word: connections stay open and nothing passes."""
+"""A TCP relay between two processes that can be blocked silently: connections stay open, but no data passes."""
 
 import socket
 import threading
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -1,7 +1,7 @@
-"""A stand-in for the platform's workers: renews leases, runs tasks by the clock, and serves as endpoint.
+"""A fake of the platform's workers: renews leases, simulates tasks with timers, and serves as endpoint.
 
-A task's behaviour comes from its configuration's name: "fail" in it fails, "hog" uses more than declared. A request's
-behaviour comes from its body: late, short, twice, wrong or close.
+The name of a task's configuration selects its behaviour: "fail" makes it fail, "hog" makes it use more than declared. The body
+of a request selects the endpoint's behaviour: slow, late, short, twice, wrong or close.
 """
 
 import http.client
@@ -16,7 +16,7 @@
 
 
 class Endpoint(socketserver.ThreadingTCPServer):
-    """Answers exchanges for all service tasks of one worker."""
+    """Serves requests for all service tasks of one worker."""
 
     allow_reuse_address = True
     daemon_threads = True
@@ -174,7 +174,7 @@
         with self.lock:
             self.end_lease()
             if self.epoch != sent["epoch"]:
-                return  # the lease under which it asked is over
+                return  # the lease under which this renewal was sent has expired
             if body.get("register"):
                 self.drop_all("lease")
             else:
@@ -214,7 +214,7 @@
         run = order["run"]
         state = self.runs.get(run)
         if state is None:
-            # Never heard of: remember it as ended, so that a start which travels late is refused.
+            # Unknown run: record it as ended, so that a delayed start order is refused.
             self.runs[run] = {"state": "stopped", "port": 0, "ends": 0, "fails": False, "stopping": True,
                               "throttled": False, "cpu": 0, "service": False}
             return
--- a/tests/process/common.py
+++ b/tests/process/common.py
@@ -1,4 +1,4 @@
-"""What process tests share: a cell that is always stopped and removed, and checks on the stand-ins' own records."""
+"""Helpers of the process tests: a cell that is always stopped and removed, and checks on the records of the fakes."""
 
 import os
 import sys
@@ -10,7 +10,7 @@
 
 
 def with_cell(test, **options):
-    """Runs a test on a fresh cell; on a failure it shows the daemons' logs and keeps them with the records."""
+    """Runs a test on a new cell; if it fails, prints the ends of the daemons' logs and saves logs and records."""
     cell = Cell(sys.argv[1], **options)
     failed = True
     try:
@@ -22,7 +22,7 @@
             for node in cell.nodes:
                 with open(node.log) as log:
                     print("-- node %d\n%s" % (node.number, log.read()[-3000:]))
-            print("Logs and records are kept in %s." % cell.keep(test.__name__))
+            print("Logs and records were saved in %s." % cell.keep(test.__name__))
         cell.stop()
         cell.remove()
     print("%s passed." % test.__name__)
@@ -43,14 +43,14 @@
 
 
 def served_everywhere(cell, who, service, keyed=False):
-    """Waits until each node serves calls to a service: a new one is in force everywhere only within seconds."""
+    """Waits until every node serves requests to a service; a new service takes seconds to reach all nodes."""
     def served(node):
         return cell.call(who, service, "x", uuid7() if keyed else None, node=node)[0] == "completed"
     wait_for(lambda: all(served(node) for node in cell.nodes))
 
 
 def ended(cell, who, jobs):
-    """Waits until jobs have ended and gives their outcomes."""
+    """Waits until jobs have ended and returns their outcomes."""
     def over():
         now = cell.jobs(who)
         return all(now[j]["outcome"] != "running" for j in jobs) and [now[j]["outcome"] for j in jobs]
@@ -58,8 +58,8 @@
 
 
 def check_outcomes(cell, who, jobs):
-    """All jobs end as completed. Where workers wrote down that their leases ran out, as many jobs that are not repeatable may be
-    unknown, in the halls of those workers: what was placed there may have run. A stalled machine lets leases of 3 s run out."""
+    """Checks that all jobs completed. For each expired lease that a worker recorded, one not-repeatable job in that worker's hall
+    may have an unknown outcome, as it may have run there. A stalled machine can let leases of 3 s expire."""
     outcomes = ended(cell, who, jobs)
     now = cell.jobs(who)
     assert set(outcomes) <= {"completed", "unknown"}, now
@@ -72,7 +72,7 @@
 
 
 def check_records(cell, not_repeatable=()):
-    """What the workers and endpoints wrote down themselves."""
+    """Checks the records of the workers and endpoints."""
     assert not cell.records.overlaps(), cell.records.overlaps()
     assert not cell.records.over_size(), cell.records.over_size()
     twice = cell.records.started_twice(set(not_repeatable))
@@ -80,7 +80,7 @@
 
 
 def check_exchanges(cell, outcomes, service):
-    """No request ran twice, and a request that was never answered but by `not_run` did not run."""
+    """Checks that no request ran twice and that a request answered only with `not_run` did not run."""
     ran = [e["body"] for e in cell.records.find("exchange") if e["body"].startswith(service + " ")]
     assert len(ran) == len(set(ran)), "A request ran twice."
     wrong = [o for o in outcomes if not o["right"]]
--- a/tests/process/test_bad_endpoints.py
+++ b/tests/process/test_bad_endpoints.py
@@ -1,4 +1,5 @@
-"""Endpoints that answer late, short, twice, to the wrong exchange, or close: whole answers to the right caller only."""
+"""Endpoints that answer late, truncated, twice, with a wrong attempt id, or close the connection: each caller still gets only
+complete answers to its own request."""
 
 import threading
 
@@ -30,7 +31,7 @@
     assert not wrong, wrong
     good = [r for r in results if r[0] in ("plain", "twice") and r[1] == "completed"]
     asked = [r for r in results if r[0] in ("plain", "twice")]
-    # A request may lose its endpoints to neighbours that broke them: it is then told so, never a wrong answer.
+    # Other requests may have made its endpoints unavailable: a request then gets an error, never a wrong answer.
     assert len(good) >= 0.9 * len(asked), (len(good), len(asked))
     print("requests %d, wrong or partial answers 0" % len(results))
 
--- a/tests/process/test_bad_input.py
+++ b/tests/process/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input from outside: a clear error with a stable number each, nothing lost, nothing of the other shown."""
+"""Invalid input: each gets an error with a stable code, loses no data, and reveals nothing of the other organisation."""
 
 import json
 import os
@@ -12,7 +12,7 @@
 
 
 def raw(port, data, wait=1.0):
-    """Sends bytes and gives what comes back until the other side closes or the time is up."""
+    """Sends bytes and returns what arrives until the peer closes the connection or `wait` seconds pass without data."""
     with socket.create_connection(("127.0.0.1", port), timeout=wait) as s:
         s.sendall(data)
         got = b""
@@ -79,11 +79,11 @@
     assert code("cruzadas", "solve", "x", uuid7(time.time() + 86400)) == (422, 409)
     assert code("cruzadas", "other", "x", uuid7()) == (404, 806)
     assert code("aarhus", "solve", "x", uuid7()) == (404, 806)
-    # The other organisation's listener does not take this organisation's token.
+    # The other organisation's listener rejects this organisation's token.
     node = cell.nodes[0]
     status, _, _ = cell.http(node.callers["aarhus"], "POST", "/v1/services/solve/requests", TOKENS["cruzadas-caller"], "x")
     assert status == 401
-    # A slow client is cut off by the read timeout and holds nobody up.
+    # A client that sends slowly is disconnected by the read timeout and does not block other requests.
     with socket.create_connection(("127.0.0.1", node.callers["cruzadas"])) as slow:
         slow.sendall(b"POST /v1/services/solve/requests HTTP/1.1\r\nContent-Le")
         assert cell.call("cruzadas", "solve", "y", uuid7(), node=node)[0] == "completed"
--- a/tests/process/test_bad_workers.py
+++ b/tests/process/test_bad_workers.py
@@ -1,4 +1,4 @@
-"""Workers that fail every task, stop renewing, or come back; a wave of cancellations during starts."""
+"""Workers that fail every task, overuse resources, or stop renewing and return; mass cancellation during starts."""
 
 import time
 
@@ -39,7 +39,7 @@
     wait_for(lambda: cell.records.find("start", configuration="again") and len(cell.records.find("start")) >= 16)
     victim = next(w for w in cell.workers if any(e["configuration"] == "again" for e in
                                                  cell.records.find("start", host=w.number)))
-    victim.frozen.set()  # it renews no more; by its lease it has to stop what it runs
+    victim.frozen.set()  # it stops renewing; when its lease expires, it must stop its runs
     time.sleep(6)
     victim.frozen.clear()
     assert ended(cell, "cruzadas", again) == ["completed"]
--- a/tests/process/test_few_descriptors.py
+++ b/tests/process/test_few_descriptors.py
@@ -1,8 +1,8 @@
-"""A leader with fewer descriptors than its workers would take: nothing ends by itself, nothing is lost.
+"""A leader with fewer file descriptors than connections to all workers would need: no process exits and no work is lost.
 
-What happened: with 1,100 workers each leader in turn ran out of descriptors, could not open its snapshot, and ended.
-Why: a connection for looks and up to three for orders to each worker, without a bound.
-What settled it: descriptors are divided by need at the start, and connections to workers keep to their part.
+Guards against descriptor exhaustion. With 1,100 workers each leader in turn ran out of descriptors, could not open its
+snapshot, and exited: it used one connection for polls and up to three for orders per worker, without a limit. Descriptors are
+now divided by need at the start, and connections to workers stay within their share.
 """
 
 import os
@@ -15,7 +15,7 @@
 from platform_cell import PlatformCell, call, wait_for  # noqa: E402
 
 WORKERS = 40
-LIMIT = 200 + 150  # the platform keeps 200 for itself; of the rest 35 are for looks, fewer than there are workers
+LIMIT = 200 + 150  # the platform reserves 200; 35 of the rest are for polls, fewer than there are workers
 STEP = {"cpu": 1000, "mem-mb": 100, "estimate-ms": 300}
 
 
@@ -39,7 +39,7 @@
 
 
 def foreign_reports(cell):
-    """Reports of another writer are refused, and name no worker to use."""
+    """Checks that invalid reports from another sender are rejected; its worker must not be used."""
     good = {"service": "pool", "machine": "m-x", "address": "127.0.0.1:9", "zone": "a", "version": "v1", "slots": 8, "state": "ready",
             "room": {"cpu": 16000, "mem-mb": 65536, "gpu": 0}, "labels": ["a"], "clock-ms": 1, "sequence": 1}
     for change in ({"state": "warming"}, {"service": 7}, {"room": None}, {"address": "nowhere"}, {"labels": 3}, {"sequence": -4},
--- a/tests/process/test_leader_frozen.py
+++ b/tests/process/test_leader_frozen.py
@@ -1,4 +1,4 @@
-"""A leader is frozen past every lease and thawed: it decides nothing stale, and no task is in two places."""
+"""A leader is frozen until all leases have expired, then resumed: it makes no stale decision, and no task runs in two places."""
 
 import time
 
--- a/tests/process/test_leader_killed.py
+++ b/tests/process/test_leader_killed.py
@@ -1,4 +1,4 @@
-"""kill -9 of leaders and followers while jobs and requests go on: nothing is lost and nothing runs twice."""
+"""Leaders and followers are killed with SIGKILL under load: no work is lost and nothing runs twice."""
 
 import time
 
--- a/tests/process/test_lost_disk.py
+++ b/tests/process/test_lost_disk.py
@@ -1,4 +1,4 @@
-"""A data folder is lost; the node comes back as a new member; a second one is lost right after the repair."""
+"""A node loses its data folder and rejoins as a new member; right after the repair, a second node loses its data folder."""
 
 import shutil
 
@@ -33,7 +33,7 @@
     for node in cell.nodes:
         body = wait_for(lambda: cell.operate("cruzadas", "GET", "/v1/configurations/changed?local=true", node=node)[2])
         assert body["version"] == 500, body
-    # The old leaderless pair can go: the two repaired ones are a quorum.
+    # The third node may fail too: the two repaired ones are a quorum.
     cell.nodes[2].kill()
     accepted(cell.submit("cruzadas", "changed", "clue-check", expected=500))
     check_records(cell, ["annual"])
--- a/tests/process/test_operators_race.py
+++ b/tests/process/test_operators_race.py
@@ -1,4 +1,5 @@
-"""Operators race with equal versions and resend after losing the answer: one wins, a resend gets the first answer."""
+"""Concurrent changes with the same expected version, and resends after a lost answer: one change wins, and a resend gets the
+first answer."""
 
 import threading
 
@@ -22,7 +23,7 @@
         lost = [a for a in answers if a[0] == 409]
         assert len(won) == 1 and len(lost) == 2, answers
         assert all(a[1]["X-Walkthread-Version"] == str(version + 1) for a in lost), lost
-    # Resends, through every process, get the first answer again; another command under the same id is refused.
+    # A resend through any process gets the first answer; another command with the same request id is rejected.
     first = accepted(cell.submit("cruzadas", "again", "clue-check", request_id="once"))
     for node in cell.nodes:
         assert accepted(cell.submit("cruzadas", "again", "clue-check", request_id="once", node=node)) == first
@@ -42,13 +43,13 @@
     assert cell.operate("aarhus", "POST", "/v1/jobs/cancel", {"request_id": "x", "jobs": [job]})[2]["jobs"] == []
     assert "secret" not in str(cell.operate("aarhus", "GET", "/v1/timeline")[2])
     assert cell.operate("cruzadas", "GET", "/v1/hosts")[0] == 401
-    # Names are each organisation's own.
+    # Names are scoped to an organisation.
     cell.template("aarhus", "clue-check", "batch", run_seconds=1, **SMALL)
     assert accepted(cell.submit("aarhus", "secret", "clue-check"))["version"] == 1
 
 
 def a_gateway_without_a_disk_follows(cell):
-    """Processes with the gateway role alone keep no replica, and still serve callers, operators and workers."""
+    """Processes with only the gateway role hold no replica but serve callers, operators and workers."""
     cell.add_workers(2)
     templates(cell)
     accepted(cell.submit("aarhus", "balance", "balance-lookup", node=cell.nodes[3]))
--- a/tests/process/test_planned_stop.py
+++ b/tests/process/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""Planned stops cut nothing: SIGTERM of a daemon under load, and draining a host that serves."""
+"""Planned stops interrupt no request: SIGTERM of a daemon under load, and draining a host that runs a service."""
 
 import signal
 import threading
@@ -18,7 +18,7 @@
     results = []
 
     def call(number):
-        # As behind a balancer: no new request once /healthz is false.
+        # Behaves like a load balancer: sends no new request once /healthz fails.
         while not stopping.is_set() and healthy(cell, victim):
             results.append(cell.call("aarhus", "balance", "balance slow" if number == 0 else "balance", node=victim))
     threads = [threading.Thread(target=call, args=(i,)) for i in range(6)]
@@ -33,7 +33,7 @@
     cut = [r for r in results if r[0] != "completed"]
     assert results and not cut, cut[:5]
     assert cell.leader(0) is not victim
-    print("requests %d, cut 0" % len(results))
+    print("requests %d, interrupted 0" % len(results))
 
 
 def healthy(cell, node):
@@ -64,7 +64,7 @@
     assert ended(cell, "aarhus", job) == ["completed"]
     check_records(cell, ["annual"])
     check_exchanges(cell, [], "none")
-    print("last new request %.1f s after leaving, none cut" % max(late, default=0))
+    print("last new request %.1f s after leaving, none interrupted" % max(late, default=0))
 
 
 with_cell(sigterm_under_load)
--- a/tests/process/test_platform.py
+++ b/tests/process/test_platform.py
@@ -1,5 +1,5 @@
-"""The whole path on the users' platform, with stand-ins: submissions of each kind, a leader killed on the way, a lost disk,
-a planned stop, bad input."""
+"""End-to-end test on a fake of the users' platform: submissions of each kind, a killed leader, a lost disk, a planned stop,
+and invalid input."""
 
 import os
 import shutil
@@ -52,13 +52,13 @@
     assert len(tasks) == expected, (len(tasks), expected)
     bad_input(cell)
 
-    # The leader stops as planned: another leads, and nothing that was accepted is gone.
+    # Planned stop of the leader: another process becomes leader, and accepted work is kept.
     leader = wait_for(cell.leader, 30)
     assert cell.kill(leader, signal.SIGTERM) == 0
     wait_for(lambda: cell.leader() not in (None, leader), 20)
     assert cell.state(ids[0]) == "completed"
 
-    # Its disk is lost: it comes back as a new member; then another may go.
+    # Its disk is lost: it rejoins as a new member; after that another process may fail.
     shutil.rmtree(os.path.join(cell.folder, "disk-%d" % leader))
     cell.start(leader)
     replaced = ("walkthread_votes 1\n", "walkthread_voters 3\n", "walkthread_learners 0\n")
--- a/tests/process/test_ports.py
+++ b/tests/process/test_ports.py
@@ -1,4 +1,5 @@
-"""Cells that run side by side: a process that is down does not lose its port to another cell or to a connection."""
+"""Port allocation for cells that run in parallel: a stopped process does not lose its port to another cell or to an outgoing
+connection."""
 
 import os
 import socket
--- a/tests/process/test_power_and_disks.py
+++ b/tests/process/test_power_and_disks.py
@@ -1,5 +1,5 @@
-"""Two of five disks are lost, the leader's among them, and every other process is killed at the same moment, right after
-acknowledgements: whatever was acknowledged is there afterwards and ends, and the configuration is the newest one."""
+"""Two of five disks are lost, including the leader's, and all processes are killed at the same time, right after
+acknowledgements: all acknowledged work survives and completes, and the newest configuration is in force."""
 
 import os
 import shutil
@@ -24,7 +24,7 @@
 
 
 def strike(cell, leader):
-    """Every process is gone before any of them is started again."""
+    """Kills all processes and deletes two disks before any process is restarted."""
     lost = [leader, next(n for n in cell.cores if n != leader)]
     for process in cell.processes.values():
         process.kill()
@@ -37,7 +37,7 @@
 
 
 def repaired(cell):
-    """Five replicas vote, and nobody waits to take another's place."""
+    """Whether all five replicas are voters and no learner is left."""
     figures = ("\nwalkthread_votes 1\n", "\nwalkthread_voters 5\n", "\nwalkthread_learners 0\n")
     return all(figure in cell.metrics(number) for number in cell.cores for figure in figures)
 
--- a/tests/process/test_restart_after_changes.py
+++ b/tests/process/test_restart_after_changes.py
@@ -1,4 +1,4 @@
-"""A process restarts after hundreds of configuration changes have gone by; then the whole cell does."""
+"""A process restarts after missing hundreds of configuration changes and catches up; then the whole cell restarts."""
 
 from common import accepted, templates, wait_for, with_cell
 
--- a/tests/process/test_silent_connections.py
+++ b/tests/process/test_silent_connections.py
@@ -1,5 +1,5 @@
-"""Open connections go silent for good, without a reset, while new ones work: between our processes, to workers and to the
-advisor. Each kind has a bound on silence of its own; work goes on, and nothing runs twice."""
+"""Open connections between processes, to workers and to the advisor silently discard all data, while new ones work. Each kind
+of connection has its own timeout; work continues, and nothing runs twice."""
 
 import os
 import shutil
@@ -15,7 +15,7 @@
 
 
 def work(cell, first, count):
-    """Submissions that are all accepted and all completed."""
+    """Submits work and waits until all of it is completed."""
     names = ["%016x" % (0xCAFE000000000000 + first + n) for n in range(count)]
     for name in names:
         cell.sizes[name] = STEPS
@@ -29,9 +29,9 @@
     wait_for(lambda: cell.ask("GET")[0] == 200, 30)
     work(cell, 0, 6)
     workers = {w.server.address for w in cell.workers}
-    cell.faults.mute(lambda link: link[1] in workers)  # looks and orders
+    cell.faults.mute(lambda link: link[1] in workers)  # polls and orders
     work(cell, 100, 6)
-    cell.faults.mute(lambda link: link[1] not in workers)  # among cores, between edges and cores, questions for advice
+    cell.faults.mute(lambda link: link[1] not in workers)  # between cores, between edges and cores, and advisor queries
     work(cell, 200, 6)
     cell.faults.mute(lambda link: True)
     work(cell, 300, 6)
--- a/tests/process/test_silent_cut.py
+++ b/tests/process/test_silent_cut.py
@@ -1,4 +1,5 @@
-"""A control host is cut off silently: connections stay open and nothing passes. It stops admitting; others go on."""
+"""A control host is partitioned silently: connections stay open, but no data passes. It stops admitting requests; the others
+continue."""
 
 import time
 
@@ -26,7 +27,8 @@
                                       node=rest[0])
         return status == 200 and body["version"] == 2
     wait_for(changed, 20)
-    # The cut one stops admitting within its staleness, and says not_run with the time to come back.
+    # The partitioned node stops admitting within config_staleness_ms and answers not_run with status 503 and a
+    # time after which to retry.
     wait_for(lambda: cell.call("aarhus", "balance", "y", node=lonely)[0] == "not_run", 20)
     outcome, status, _ = cell.call("aarhus", "balance", "y", node=lonely)
     assert (outcome, status) == ("not_run", 503)
--- a/tests/process/test_stand_in_lease.py
+++ b/tests/process/test_stand_in_lease.py
@@ -1,4 +1,4 @@
-"""A stand-in worker whose lease ended while a renewal was under way takes the late answer for nothing and registers anew."""
+"""A fake worker whose lease expired during a renewal ignores the late answer and registers again."""
 
 import http.server
 import json
@@ -18,7 +18,7 @@
 
 
 class Gateway(http.server.ThreadingHTTPServer):
-    """Registers the worker, starts one task, and holds the answer to the next renewal until the lease is over."""
+    """Registers the worker, starts one task, and delays the answer to the next renewal until the lease has expired."""
 
     daemon_threads = True
 
@@ -66,7 +66,7 @@
         gateway.worker.stop()
         gateway.shutdown()
     assert records.find("end", run=RUN["run"], how="lease"), records.events
-    assert gateway.after[0]["epoch"] == 0, "It renewed an epoch whose lease was over: %s" % gateway.after[0]
+    assert gateway.after[0]["epoch"] == 0, "The worker renewed an epoch whose lease had expired: %s" % gateway.after[0]
 
 
 with tempfile.TemporaryDirectory() as kept:
--- a/tests/process/test_stand_in_records.py
+++ b/tests/process/test_stand_in_records.py
@@ -1,4 +1,5 @@
-"""The stand-ins' records tell two places of one task from two tasks of two halls, and whose end an end is."""
+"""The records of the fakes distinguish one task in two places from equally numbered tasks of two halls, and match each end to
+the start on the same host."""
 
 import os
 import sys
--- a/tests/soak/peer_proxy.py
+++ b/tests/soak/peer_proxy.py
@@ -1,5 +1,5 @@
-"""A proxy in front of one process's port for peers. Links are told apart by the address in the sender's greeting, so that
-each can be cut one way, delayed or reset while the others go on."""
+"""A proxy in front of one process's peer port. Links are identified by the sender's address in its first message, so that
+each can be blocked in one direction, delayed or reset independently of the others."""
 
 import random
 import re
@@ -8,12 +8,12 @@
 import time
 
 ADDRESS = re.compile(rb"127\.0\.0\.\d+:\d+")
-QUEUED = 4     # connections that fill a queue of length 0, and one that ends the accept under way
-POLL_S = 0.02  # how soon a held link notices that it is free again
+QUEUED = 4     # enough connections to fill an accept queue of length 0 and to end the pending accept
+POLL_S = 0.02  # interval at which a blocked link checks whether it is unblocked
 
 
 class Faults:
-    """What is wrong with the links now; shared by all proxies of a cell."""
+    """The current faults of the links; shared by all proxies of a cell."""
 
     def __init__(self):
         self.lock = threading.Lock()
@@ -30,14 +30,14 @@
                 self.delay[link] = seconds
 
     def mute(self, chosen):
-        """The open connections of the links that `chosen` takes swallow what is sent, for ever; new ones work."""
+        """Open connections of the links selected by `chosen` discard all data from now on; new connections work."""
         with self.lock:
             for link, pairs in self.open.items():
                 if chosen(link):
                     self.muted.update(side for pair in pairs for side in pair)
 
     def reset(self, links):
-        """Closes the open connections of these links with a reset."""
+        """Closes the open connections of these links with a TCP reset."""
         with self.lock:
             chosen = [pair for link in links for pair in self.open.get(link, [])]
         for pair in chosen:
@@ -50,11 +50,11 @@
         side.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         side.close()
     except OSError:
-        pass  # it was closed meanwhile
+        pass  # already closed
 
 
 class PeerProxy:
-    """Listens where others look for `name` and passes on to where it really listens."""
+    """Listens at the published address of `name` and forwards to the address at which it actually listens."""
 
     def __init__(self, name, listen, target, faults):
         self.name, self.target, self.faults, self.live, self.held = name, target, faults, True, []
@@ -96,7 +96,7 @@
         far.close()
 
     def pump(self, source, sink, link, data):
-        """`link` names who sends and who receives on this way of the connection."""
+        """Forwards one direction of a connection; `link` is its (sender, receiver)."""
         try:
             while data or (data := source.recv(65536)):
                 if source in self.faults.muted:
@@ -110,17 +110,17 @@
                 sink.sendall(data)
                 data = b""
         except OSError:
-            pass  # one side is gone; so is the connection
+            pass  # one side closed the connection
         for side in (source, sink):
             try:
                 side.shutdown(socket.SHUT_RDWR)
             except OSError:
-                pass  # it was closed meanwhile
+                pass  # already closed
 
     def refuse(self):
-        """For good: connections to it are reset and refused, as where its process has ended."""
+        """Permanently resets and refuses connections, as if the process behind it had ended."""
         self.live = False
-        self.listener.shutdown(socket.SHUT_RDWR)  # ends the accept under way; closing alone would not
+        self.listener.shutdown(socket.SHUT_RDWR)  # unblocks the pending accept; close() alone would not
         self.listener.close()
         with self.faults.lock:
             pairs = [pair for link, found in self.faults.open.items() if link[1] == self.name for pair in found]
@@ -129,11 +129,11 @@
             far.close()
 
     def fall_silent(self):
-        """For good: open connections swallow what is sent, new ones are not answered, as where a machine lost power."""
+        """Permanently discards data of open connections and answers no new ones, as if the machine had lost power."""
         self.live = False
         self.faults.mute(lambda link: link[1] == self.name)
         self.listener.listen(0)
-        for _ in range(QUEUED):  # once as many wait as may, the system answers no further connection
+        for _ in range(QUEUED):  # once the accept queue is full, the kernel answers no further connection
             waiting = socket.socket()
             waiting.setblocking(False)
             waiting.connect_ex(self.listener.getsockname())
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -1,16 +1,17 @@
-"""What callers, operators and workers saw in a soak, and what of it breaks a promise."""
+"""Checks the system's guarantees against what callers, operators and workers observed in a soak test."""
 
 import threading
 import time
 
-CANCELLED_AFTER_S = 3.5  # the platform's bound for cancels, with the workers' stop
-CALM_S = 4.0             # after the last fault, before time bounds count again
-DRAIN_S = 2.0            # a worker whose leaving was acknowledged gets nothing new after that: the platform's shortest
-STANDS_S = 20.0          # until all accepted is done, in calm: the longest lease, a drop, two steps, and a busy machine
+CANCELLED_AFTER_S = 3.5  # the platform's time limit for a cancellation, including the stop at the workers
+CALM_S = 4.0             # after the last fault, before time limits are checked again
+DRAIN_S = 2.0            # a worker whose leaving was acknowledged gets no new run after that: the platform's shortest drain
+# Fault-free time in which accepted work must finish: the longest lease, the drop of a worker, two steps, and a busy machine.
+STANDS_S = 20.0
 
 
 class Promises:
-    """What was seen, and what of it breaks a promise."""
+    """Collects observations and records each violated guarantee."""
 
     def __init__(self, cell):
         self.cell, self.lock, self.broken = cell, threading.Lock(), []
@@ -32,26 +33,26 @@
         return 200 in self.answers.get(name, [])
 
     def saw_state(self, name, status, state, asked_at):
-        """One read of a submission's state. Rules with a time bound hold only where all was calm before."""
+        """Checks one read of a submission's state. Time limits apply only after a fault-free period."""
         if status == 410 and asked_at - self.calm_since > CALM_S:
-            self.fail("410 for the accepted submission " + name)
+            self.fail("status 410 for the accepted submission " + name)
         if status != 200:
             return
         with self.lock:
             done = name in self.completed
             self.completed |= {name} if state == "completed" else set()
         if done and state != "completed":
-            self.fail("%s was completed and is %s" % (name, state))
+            self.fail("%s was completed and is now %s" % (name, state))
         if state == "completed":
             self.check_complete(name)
         stood = asked_at - max(self.calm_since, self.led_since, self.accepted_at.get(name, asked_at))
         if state in ("queued", "running") and name not in self.cancelled and stood > self.stands_s:
-            self.fail("%s was accepted and is %s after %.1f calm seconds" % (name, state, stood))
+            self.fail("%s was accepted and is still %s after %.1f s without faults" % (name, state, stood))
         if (state == "failed" and not self.may_be_given_up(name)) or (state == "cancelled" and name not in self.cancelled):
-            self.fail("%s is %s without a cause" % (name, state))
+            self.fail("%s is %s without a reason" % (name, state))
 
     def may_be_given_up(self, name):
-        """No task fails here; one under which two workers have crashed may be given up."""
+        """No task fails by itself in a soak; one that crashed two workers may be failed as a poison task."""
         return any(count >= 2 and task.startswith(name) for task, count in list(self.cell.crashes.items()))
 
     def check_complete(self, name):
@@ -60,18 +61,18 @@
             tasks = ["%s.0.%d.%d" % (name, step, i) for i in range(spec["count"])]
             missing = [t for t in tasks if t not in ended]
             if missing and not (spec.get("gang") and len(missing) < len(tasks)):
-                self.fail("%s is completed without %s" % (name, missing[0]))
+                self.fail("%s is completed, but its task %s never was" % (name, missing[0]))
 
     def check_cancelled(self):
-        """Nothing of a cancelled submission runs on, once all was calm for longer than stops take."""
+        """No task of a cancelled submission still runs after a fault-free period longer than stops take."""
         for worker in self.cell.workers + self.cell.leavers:
             left = list(worker.running) if worker.live and worker.clock() <= worker.until else []
             for task, run in left:
                 if task.split(".")[0] in self.cancelled:
-                    self.fail("%s/%d still runs on %s after its cancel" % (task, run, worker.life))
+                    self.fail("%s/%d still runs on %s after its cancellation" % (task, run, worker.life))
 
     def check_starts(self):
-        """From what the workers wrote down: nothing unasked, refused, twice, too early, or after a cancel."""
+        """Checks the workers' records: no start that was never submitted, was refused, repeated, too early or cancelled."""
         starts, done = list(self.cell.starts), list(self.cell.done)
         first_done = {}
         for task, _, at in done:
@@ -79,23 +80,23 @@
         for task, run, life, at in starts:
             name, _, step, _ = task.split(".")
             if name not in self.steps:
-                self.fail("unasked start of " + task)
+                self.fail("start of a task that was never submitted: " + task)
                 continue
             if self.answers.get(name) and all(s in (429, 503) for s in self.answers[name]):
-                self.fail("start of %s, which was refused each time" % task)
+                self.fail("start of %s, whose submission was refused each time" % task)
             for earlier in self.steps[name][int(step)].get("after-rev", []):
                 for i in range(self.steps[name][earlier]["count"]):
                     if first_done.get("%s.0.%d.%d" % (name, earlier, i), at + 1) > at:
-                        self.fail("%s began on %s before step %d was done" % (task, life, earlier))
+                        self.fail("%s started on %s before step %d was done" % (task, life, earlier))
             if at > self.cancelled.get(name, at) + CANCELLED_AFTER_S:
-                self.fail("%s/%d began %.1f s after its cancel" % (task, run, at - self.cancelled[name]))
+                self.fail("%s/%d started %.1f s after its cancellation" % (task, run, at - self.cancelled[name]))
         for text in self.cell.violations:
             self.fail(text)
         for task, run, life, at in list(self.cell.orders):
             if at > self.cell.leaving.get(life, at) + DRAIN_S:
-                self.fail("%s/%d began on %s %.1f s after its leaving was acknowledged" % (
+                self.fail("%s/%d started on %s %.1f s after the worker's leaving was acknowledged" % (
                     task, run, life, at - self.cell.leaving[life]))
         noted = {(task, run) for task, run, _ in list(self.cell.noted)}
         for start in self.cell.overlaps():
             if any(d[0] == start[0] and d[1] < start[1] and d[2] < start[3] and (d[0], d[1]) in noted for d in done):
-                self.fail("%s/%d began after an earlier run of it was done and taken note of" % start[:2])
+                self.fail("%s/%d started after the completion of an earlier run had been acknowledged" % start[:2])
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,18 +1,18 @@
-"""A randomized soak: the real processes with faults from outside, and the promises checked from what callers, operators and
-workers see.
+"""A randomized soak test: runs the real processes under injected faults and checks the guarantees that callers, operators and
+workers observe.
 
 Usage: soak.py BUILD [--seed N] [--seconds S] [--cores N] [--edges N] [--workers N] [--calm] [--poison] [--gone] [--keep FOLDER]
 
-With --calm one fault at a time strikes the leader, right after something was acknowledged, with calm seconds behind it: rules
-with a time bound count only there, and series that overlap leave no such second.
+With --calm, one fault at a time hits the leader right after an acknowledgement and is followed by a fault-free period. Rules
+with a time limit are checked only in such periods, which overlapping faults do not leave.
 
-With --gone workers go for good at about the moment at which the leader, or all of the core, is struck; all that was accepted is
-done in a bounded time on those that stay.
+With --gone, workers are lost permanently at about the time at which the leader or the whole core fails; all accepted work must
+finish in bounded time on the remaining workers.
 
-With --poison some submissions have a task that takes down each worker that starts it; they end as failed.
+With --poison, some submissions have a task that crashes each worker that starts it; they end as failed.
 
-The seed decides which faults come, in which order and on what. Times of a run differ all the same, as real processes do.
-A broken promise ends the run with exit code 1; with --keep the processes' logs and the list of faults stay there.
+The seed selects the faults, their order and their targets. Timing still differs between runs, as these are real processes.
+A violated guarantee ends the run with exit code 1; --keep then saves the processes' logs and the list of faults in FOLDER.
 """
 
 import argparse
@@ -39,21 +39,21 @@
 SMALL = {"cpu": 1500, "mem-mb": 200, "estimate-ms": 300}
 KINDS = [[dict(SMALL, count=2)], [dict(SMALL, count=4), dict(SMALL, count=2, **{"after-rev": [0]})],
          [dict(SMALL, count=4, cpu=4000, gang=True)], [dict(SMALL, count=5, checkpointing=True, **{"anti-affinity": 2})]]
-LASTING = [dict(SMALL, count=2, **{"long-running": True})]  # runs until it is cancelled
+LASTING = [dict(SMALL, count=2, **{"long-running": True})]  # runs until cancelled
 LASTING_SHARE = 0.05
-POISON_SHARE = 0.03      # with --poison: about one each second, on six workers
+POISON_SHARE = 0.03      # with --poison: about one per second on six workers
 CANCEL_SHARE = 0.1
-QUIET_S = 5.0            # a worker's reports after that acknowledgement are lost for so long
-REST_S = 6.0             # of calm behind a single fault: above CALM_S
-GOERS = 8                # with --gone: workers beside the usual ones, that may go
+QUIET_S = 5.0            # time for which a worker's reports are lost after its leaving was acknowledged
+REST_S = 6.0             # fault-free time after a single fault; above CALM_S
+GOERS = 8                # with --gone: additional workers that may be lost
 LEADER_LOOK_S = 0.3
 TERM = re.compile(r"\nwalkthread_term (\d+)")
-FINISH_S = 60            # in which everything accepted has to be done once all faults are over
+FINISH_S = 60            # time limit for accepted work to finish after the last fault
 CLIENTS = 4
 
 
 class SoakCell(PlatformCell):
-    """A cell whose peers meet through proxies."""
+    """A cell whose processes and workers are reached through proxies."""
 
     def __init__(self, build, cores, edges, workers, run_seconds):
         self.faults, self.proxies, self.bind, self.sizes, self.poison = Faults(), {}, {}, {}, set()
@@ -67,7 +67,7 @@
         return ['peer-bind = "%s:%d"' % (loopback(number), self.bind[number])]
 
     def reachable(self, address):
-        """Workers are met through proxies too."""
+        """Puts a proxy in front of a worker."""
         host, port = address.rsplit(":", 1)
         listen = ("127.0.0.1", free_port())
         self.proxies[address] = PeerProxy(address, listen, (host, int(port)), self.faults)
@@ -97,13 +97,13 @@
 
 
 class Client(threading.Thread):
-    """Submits, asks and cancels over connections that it keeps until they break."""
+    """Submits, reads and cancels over persistent connections."""
 
     def __init__(self, number, cell, promises, seed):
         super().__init__(daemon=True)
         self.number, self.cell, self.promises, self.random = number, cell, promises, random.Random(seed * 100 + number)
         self.stopping, self.channels, self.names = threading.Event(), {}, []
-        self.poison_share, self.draw = 0.0, random.Random(seed * 1000 + number)  # its own: other draws stay as they are
+        self.poison_share, self.draw = 0.0, random.Random(seed * 1000 + number)  # a separate generator, so that --poison does not change other random choices
 
     def exchange(self, edge, method, name, body=None):
         channel = self.channels.get(edge)
@@ -147,7 +147,7 @@
             self.cancel(name)
 
     def cancel(self, name):
-        # From the first attempt on the state may be `cancelled`; only an answer starts the bound on starts.
+        # The state may be `cancelled` from the first attempt on; the time limit on starts begins with the acknowledgement.
         self.promises.cancelled[name] = float("inf")
         for _ in range(40):
             status, _ = self.exchange(self.random.choice(self.cell.edges), "DELETE", name)
@@ -163,7 +163,7 @@
 
 
 class Operator(threading.Thread):
-    """Raises the configuration's version and reads it back."""
+    """Increases the configuration's version and reads it back."""
 
     def __init__(self, cell, promises, seed):
         super().__init__(daemon=True)
@@ -182,11 +182,11 @@
         acked = self.promises.versions_acked
         status, held = call(self.random.choice(self.cell.operator_addresses()), "GET", "/walkthread/config", timeout=1.5)
         if status == 200 and held["version"] < acked:
-            self.promises.fail("configuration %d was read after %d was acknowledged" % (held["version"], acked))
+            self.promises.fail("configuration version %d was read after version %d was acknowledged" % (held["version"], acked))
 
 
 def strike_in_series(trouble, promises, end):
-    """Faults that overlap, as many as come."""
+    """Injects overlapping faults."""
     while time.monotonic() < end and not promises.broken:
         promises.calm_since = float("inf")
         for _ in range(trouble.random.randint(1, 4)):
@@ -196,7 +196,7 @@
 
 
 def strike_after_acknowledgements(cell, trouble, promises, end):
-    """One fault at a time, at the leader, right after an acknowledgement; then calm."""
+    """Injects one fault at a time into the leader, right after an acknowledgement, followed by a fault-free period."""
     kinds = ["leaving", "leaving", "cancel", "submit", "configure"]
     while time.monotonic() < end and not promises.broken:
         acknowledge(cell, trouble, promises, trouble.random.choice(kinds))
@@ -207,7 +207,7 @@
 
 
 def strike_as_workers_go(cell, trouble, promises, end, stay):
-    """The core is struck as workers go for good, over and over while as many stay as have room for all."""
+    """Repeatedly loses workers permanently while the core fails, as long as the remaining workers have enough capacity."""
     while time.monotonic() < end and len(cell.workers) > stay + 1 and not promises.broken:
         promises.calm_since = float("inf")
         trouble.lose_workers(trouble.random.uniform(0.5, 5.0))
@@ -216,18 +216,18 @@
 
 
 def note_leaders(cell, trouble, promises, stopping):
-    """A new term's leader has to wait for the longest lease again: what stands still is counted from its first second."""
+    """Records leader changes. A new leader has to wait out the longest lease, so stalls are measured from its election."""
     known = None
     while not stopping.wait(LEADER_LOOK_S):
         process = cell.leader()
         term = TERM.search(cell.metrics(process)) if process else None
         if term and (process, term.group(1)) != known:
             known, promises.led_since = (process, term.group(1)), time.monotonic()
-            trouble.note("process %s leads in term %s" % known)
+            trouble.note("process %s is leader in term %s" % known)
 
 
 def acknowledge(cell, trouble, promises, kind):
-    """Brings about one acknowledgement of that kind."""
+    """Triggers one acknowledgement of the given kind."""
     trouble.note("acknowledged: " + kind)
     if kind == "leaving":
         worker = trouble.release(8.0)
@@ -235,7 +235,7 @@
         worker.quiet_until = time.monotonic() + QUIET_S
         return
     if kind == "configure":
-        return  # the operator's are frequent
+        return  # the operator thread gets acknowledgements all the time
     client = Client(CLIENTS, cell, promises, trouble.random.getrandbits(30))
     client.submit()
     if kind == "cancel" and client.names:
@@ -243,7 +243,7 @@
 
 
 def play(cell, promises, chosen):
-    """Trouble for so long; then all has to be done."""
+    """Injects faults for the chosen time, then checks that all accepted work finishes."""
     borne = (len(cell.cores) - 1) // 2
     trouble = Trouble(cell, chosen.seed, borne)
     clients = [Client(n, cell, promises, chosen.seed) for n in range(CLIENTS)]
@@ -275,7 +275,7 @@
 
 
 def settle(cell, promises):
-    """Everything that was accepted is done in the end, and the newest configuration is held."""
+    """Checks that all accepted work finishes and that the newest configuration is in force."""
     open_names = [name for name in list(promises.answers) if promises.accepted(name)]
     end = time.monotonic() + FINISH_S
     while open_names and time.monotonic() < end and not promises.broken:
@@ -293,10 +293,10 @@
         open_names = left
         time.sleep(0.2)
     for name in open_names[:5]:
-        promises.fail("%s was accepted and is not done: %s" % (name, cell.ask("GET", name)))
+        promises.fail("%s was accepted and has not finished: %s" % (name, cell.ask("GET", name)))
     status, held = call(cell.operator_addresses()[0], "GET", "/walkthread/config", timeout=3)
     if status != 200 or held["version"] < promises.versions_acked:
-        promises.fail("the configuration at the end is %s %s, not %d" % (status, held, promises.versions_acked))
+        promises.fail("the configuration at the end is %s %s, expected version %d" % (status, held, promises.versions_acked))
 
 
 def main():
@@ -321,7 +321,7 @@
         wait_for(lambda: cell.ask("GET")[0] == 200, 30)
         log = play(cell, promises, chosen)
     except AssertionError as error:
-        promises.fail("the cell did not form: %s" % error)
+        promises.fail("the cell did not become ready, or a step of the run timed out: %s" % error)
     finally:
         cell.stop()
         if promises.broken and chosen.keep:
@@ -334,7 +334,7 @@
         chosen.seed, len(log), accepted, len(promises.answers), sum(1 for name in cell.poison if promises.accepted(name)),
         len(cell.starts), len(promises.broken)))
     if cell.poison:
-        print("  most workers down under one task: %d" % max(cell.crashes.values(), default=0))
+        print("  most workers crashed by one task: %d" % max(cell.crashes.values(), default=0))
     for text in promises.broken[:10]:
         print("  " + text)
     return 1 if promises.broken else 0
--- a/tests/soak/trouble.py
+++ b/tests/soak/trouble.py
@@ -1,4 +1,4 @@
-"""Faults of a soak, from a seed."""
+"""Fault injection for the soak test, driven by a seed."""
 
 import os
 import random
@@ -13,7 +13,7 @@
 
 
 class Trouble:
-    """Faults from the seed. At most as many disks are away at a time as the cell bears."""
+    """Injects random faults. At most `borne` replicas, which the cell tolerates, are unavailable at a time."""
 
     def __init__(self, cell, seed, borne):
         self.cell, self.random, self.borne = cell, random.Random(seed), borne
@@ -24,7 +24,7 @@
         self.log.append("%.2f %s" % (time.monotonic(), text))
 
     def pick(self):
-        """A process to strike; none of the replicas if enough of them are away."""
+        """Chooses a process for a fault; no replica if the tolerated number is unavailable already."""
         with self.lock:
             cores = [n for n in self.cell.cores if n not in self.away]
             may = cores if len(self.away & set(self.cell.cores)) < self.borne else []
@@ -33,7 +33,7 @@
         return choice
 
     def back(self, number, settle):
-        time.sleep(settle)  # a replica counts as away until it has caught up
+        time.sleep(settle)  # a replica counts as unavailable until it has caught up
         with self.lock:
             self.away -= {number}
 
@@ -85,7 +85,7 @@
         self.with_process("wipe the disk of", hold, act, settle=6.0)
 
     def torn(self, hold):
-        """A kill with a write that was never synced half on the disk: bytes behind the end of the newest log."""
+        """Kills a process during a write that was not durable yet: leaves a torn tail at the end of its newest log."""
         def act(number):
             self.cell.kill(number)
             folder = os.path.join(self.cell.folder, "disk-%d" % number)
@@ -127,7 +127,7 @@
         self.cell.faults.reset(self.links_of(number, ("in", "out")))
 
     def mute(self, _hold):
-        """Open connections of one process go silent for good; only time-outs of the processes show it."""
+        """Open connections of one process discard all data from now on, which others notice only by timeouts."""
         me = loopback(self.random.choice(self.cell.cores + self.cell.edges))
         self.note("mute the open links of %s" % me)
         self.cell.faults.mute(lambda link: me in link)
@@ -138,7 +138,7 @@
         self.cell.faults.mute(lambda link: link[1] in addresses)
 
     def late_report(self, hold):
-        """A worker crashes and its next life is heard first; then a report that was held back arrives."""
+        """A worker crashes and its next incarnation reports; then a delayed report of the former incarnation arrives."""
         index = self.random.randrange(len(self.cell.workers))
         old = self.cell.workers[index]
         self.worker_at(index)
@@ -150,7 +150,7 @@
         self.worker_at(self.random.randrange(len(self.cell.workers)))
 
     def worker_at(self, index):
-        """A worker crashes and is back at once, half of the times under the id that it had."""
+        """A worker crashes and restarts at once, with probability 0.5 under the same id."""
         self.lives += 1
         old = self.cell.workers[index]
         keeps = self.random.random() < 0.5
@@ -158,7 +158,7 @@
         self.cell.workers[index] = old.crash(old.life if keeps else "i-%08x" % (0x1000 + self.lives))
 
     def release(self, hold):
-        """A worker is replaced: another one comes, then this one says that it leaves, serves for a while and ends."""
+        """A worker is replaced: it announces that it leaves, serves for a while and ends; another one takes its place."""
         return self.release_at(self.random.randrange(len(self.cell.workers)), hold)
 
     def release_at(self, index, hold):
@@ -170,7 +170,7 @@
         return old
 
     def strike_leader(self, hold):
-        """The leader alone: killed, paused or cut off, at this moment."""
+        """Kills, pauses or isolates the current leader."""
         leader = self.cell.leader()
         if leader is None:
             return
@@ -191,7 +191,7 @@
             self.cell.faults.set_silent(links, False)
 
     def lose_workers(self, hold):
-        """Workers go for good at about the moment at which the leader, or all of the core, is struck."""
+        """Loses workers permanently at about the time at which the leader or the whole core fails."""
         how, count = self.random.choice(WAYS_TO_GO), self.random.randint(1, 2)
         first, apart = self.random.random() < 0.5, self.random.uniform(0.0, 0.5)
         core = threading.Thread(target=self.random.choice([self.strike_leader, self.strike_leader, self.all_down]), args=(hold,))
@@ -210,7 +210,7 @@
         core.join()
 
     def go_for_good(self, worker, how):
-        self.note("worker %s goes for good with %d runs: %s" % (worker.life, len(worker.running), how))
+        self.note("worker %s is lost permanently with %d runs: %s" % (worker.life, len(worker.running), how))
         self.cell.workers.remove(worker)
         self.cell.leavers.append(worker)
         proxy = self.cell.proxies[worker.server.address]
@@ -223,11 +223,11 @@
 
     def hush(self, hold):
         worker = self.random.choice(self.cell.workers)
-        self.note("worker %s leaves orders unanswered for %.2f s" % (worker.life, hold))
+        self.note("worker %s does not answer orders for %.2f s" % (worker.life, hold))
         worker.hushed_until = time.monotonic() + hold
 
     def all(self, hold):
-        """Every replica is killed at once and comes back; their disks stay."""
+        """Kills all replicas at once and restarts them with their disks intact."""
         with self.lock:
             if self.away & set(self.cell.cores):
                 return
