--- a/bench/measure_cell.py
+++ b/bench/measure_cell.py
@@ -45,13 +45,13 @@
         return sum(os.path.getsize(os.path.join(n.data, f)) for n in self.cell.nodes for f in os.listdir(n.data)
                    if f.startswith("wal-"))
 
-    def until_now(self):
+    def since_start(self):
         now = Usage(self.cell)
         return {"seconds": now.at - self.at, "cpu": sum(now.cpu) - sum(self.cpu),
                 "peer_bytes": sum(now.sent) - sum(self.sent), "log_bytes": now.wal - self.wal}
 
 
-class Swarm:
+class WorkerFleet:
     """Protocol-only workers: they run nothing, renew on request over keep-alive connections, and count bytes."""
 
     def __init__(self, cell, count, slots=8):
@@ -104,7 +104,7 @@
         time.sleep(2)
         usage = Usage(cell)
         time.sleep(10)
-        spent = usage.until_now()
+        spent = usage.since_start()
         return {"halls": halls, "feed_s": feed_ms / 1000, "cpu_percent_per_node": 100 * spent["cpu"] / spent["seconds"] / 3,
                 "peer_bytes_per_s_per_node": spent["peer_bytes"] / spent["seconds"] / 3,
                 "rss_mb": max(rss_mb(n) for n in cell.nodes)}
@@ -113,35 +113,35 @@
         cell.remove()
 
 
-def renewals(cell, swarm, rounds):
-    usage, began, exchanges = Usage(cell), swarm.bytes, swarm.exchanges
+def renewals(cell, fleet, rounds):
+    usage, began, exchanges = Usage(cell), fleet.bytes, fleet.exchanges
     for _ in range(rounds):
-        for worker in swarm.workers:
-            swarm.renew(worker)
-    spent, done = usage.until_now(), swarm.exchanges - exchanges
+        for worker in fleet.workers:
+            fleet.renew(worker)
+    spent, done = usage.since_start(), fleet.exchanges - exchanges
     return {"renewals": done, "cpu_us_each": 1e6 * spent["cpu"] / done, "peer_bytes_each": spent["peer_bytes"] / done,
-            "http_bytes_each": (swarm.bytes - began) / done, "workers": len(swarm.workers)}
+            "http_bytes_each": (fleet.bytes - began) / done, "workers": len(fleet.workers)}
 
 
-def tasks(cell, swarm, count):
+def tasks(cell, fleet, count):
     """Measures complete task life cycles, from placement to removal of the record."""
-    usage, began, exchanges = Usage(cell), swarm.bytes, swarm.exchanges
+    usage, began, exchanges = Usage(cell), fleet.bytes, fleet.exchanges
     name = "life-%d" % count
     status, _, answer = cell.submit("aarhus", name, "small", tasks=count)
     assert status == 200, answer
     job = answer["jobs"][0]
     ended = 0
     while cell.jobs("aarhus")[job]["outcome"] == "running":
-        for worker in swarm.workers:
-            answer = swarm.renew(worker)
+        for worker in fleet.workers:
+            answer = fleet.renew(worker)
             for run, state in list(worker["runs"].items()):
                 if state == "started" and not answer.get("start"):
                     worker["runs"][run] = "completed"
                     ended += 1
-    spent = usage.until_now()
+    spent = usage.since_start()
     return {"tasks": count, "cpu_us_each": 1e6 * spent["cpu"] / count, "peer_bytes_each": spent["peer_bytes"] / count,
-            "log_bytes_each_replica": spent["log_bytes"] / count / 3, "http_bytes_each": (swarm.bytes - began) / count,
-            "exchanges_each": (swarm.exchanges - exchanges) / count}
+            "log_bytes_each_replica": spent["log_bytes"] / count / 3, "http_bytes_each": (fleet.bytes - began) / count,
+            "exchanges_each": (fleet.exchanges - exchanges) / count}
 
 
 def placements(cell, count):
@@ -157,7 +157,7 @@
         return sum(cell.metric(n, "walkthread_placements_total") for n in cell.nodes) - before >= count
     wait_for(placed, 60, 0.005)
     took = time.monotonic() - began
-    spent = usage.until_now()
+    spent = usage.since_start()
     cell.operate("aarhus", "POST", "/v1/jobs/cancel", {"request_id": "c%d" % count, "jobs": [job]})
     return {"placements": count, "per_s": count / took, "log_bytes_each_replica": spent["log_bytes"] / count / 3,
             "peer_bytes_each": spent["peer_bytes"] / count}
@@ -175,7 +175,7 @@
             wait_for(lambda: all(cell.operate("cruzadas", "GET", "/v1/configurations/change?local=true", node=n)[2].get("version", 0)
                                  >= changes.version for n in cell.nodes), 10, 0.002)
             waits.append(time.monotonic() - began)
-    spent = usage.until_now()
+    spent = usage.since_start()
     return {"changes": count, "cpu_us_each": 1e6 * spent["cpu"] / count, "peer_bytes_each": spent["peer_bytes"] / count,
             "log_bytes_each_replica": spent["log_bytes"] / count / 3,
             "in_force_everywhere_s_median": statistics.median(waits), "in_force_everywhere_s_max": max(waits)}
@@ -192,13 +192,13 @@
             cell = Cell(build, halls=("a", "b"), timing=timing, limits={"http_threads": 128})
             try:
                 cell.wait_ready()
-                swarm = Swarm(cell, size)
-                out[key].append({**renewals(cell, swarm, 10), "rss_mb": max(rss_mb(n) for n in cell.nodes)})
+                fleet = WorkerFleet(cell, size)
+                out[key].append({**renewals(cell, fleet, 10), "rss_mb": max(rss_mb(n) for n in cell.nodes)})
                 if size != sizes[-1]:
                     continue
                 cell.template("aarhus", "small", "batch", cpu_millicores=1000, memory_mib=1024, run_seconds=1, tasks=1)
                 cell.template("cruzadas", "small", "batch", cpu_millicores=1000, memory_mib=1024, run_seconds=1, tasks=1)
-                out["tasks"] = [tasks(cell, swarm, count) for count in (200, 400, 800)]
+                out["tasks"] = [tasks(cell, fleet, count) for count in (200, 400, 800)]
                 changes.version = 0
                 out["changes"] = [changes(cell, count) for count in (100, 200, 400)]
             finally:
@@ -207,7 +207,7 @@
     cell = Cell(build, halls=("a",), timing=timing)
     try:
         cell.wait_ready()
-        Swarm(cell, 96, slots=400)
+        WorkerFleet(cell, 96, slots=400)
         limits = {"tasks": 100000, "cpu_millicores": 1000, "memory_mib": 1024}
         body = {"request_id": "t", "kind": "batch", "repeatable": True, "defaults": {"cpu_millicores": 100, "memory_mib":
                 16, "run_seconds": 60}, "limits": limits}
--- a/bench/measure_recovery.py
+++ b/bench/measure_recovery.py
@@ -16,33 +16,34 @@
 REPEATS = 5
 
 
-def set_cut(cell, node, cut):
+def set_partitioned(cell, node, partitioned):
     for other in cell.nodes:
         if other is not node:
-            other.relays[node.number].cut = cut
-            node.relays[other.number].cut = cut
+            other.relays[node.number].blocked = partitioned
+            node.relays[other.number].blocked = partitioned
 
 
 FAILURES = {"kill -9": (lambda cell, node: node.kill(), lambda cell, node: node.start()),
-            "freeze": (lambda cell, node: node.freeze(), lambda cell, node: node.thaw()),
-            "silent cut": (lambda cell, node: set_cut(cell, node, True), lambda cell, node: set_cut(cell, node, False))}
+            "freeze": (lambda cell, node: node.freeze(), lambda cell, node: node.resume()),
+            "silent cut": (lambda cell, node: set_partitioned(cell, node, True),
+                           lambda cell, node: set_partitioned(cell, node, False))}
 
 
 def main():
     cell = Cell(sys.argv[1], halls=("a",), timing=DEFAULT_TIMING, with_relays=True)
     try:
         cell.wait_ready()
-        for name, (harm, mend) in FAILURES.items():
+        for name, (inject, recover) in FAILURES.items():
             times = []
             for i in range(REPEATS):
                 leader = wait_for(cell.leader)
                 rest = [n for n in cell.nodes if n is not leader]
-                harm(cell, leader)
+                inject(cell, leader)
                 began = time.monotonic()
                 body = {"request_id": "%s %d" % (name, i)}
                 cell.operate("aarhus", "PUT", "/v1/teams/t", body, node=rest[0])
                 times.append(time.monotonic() - began)
-                mend(cell, leader)
+                recover(cell, leader)
                 cell.wait_ready()
             print("%-10s commands accepted again after %.2f s (median), %.2f s (maximum) in %d runs; election timeout 1 s"
                   % (name, statistics.median(times), max(times), REPEATS), flush=True)
--- a/tests/fakes/cell.py
+++ b/tests/fakes/cell.py
@@ -79,11 +79,11 @@
     def freeze(self):
         self.process.send_signal(signal.SIGSTOP)
 
-    def thaw(self):
+    def resume(self):
         self.process.send_signal(signal.SIGCONT)
 
     @property
-    def runs(self):
+    def is_running(self):
         return self.process is not None and self.process.poll() is None
 
 
@@ -155,9 +155,9 @@
         finally:
             connection.close()
 
-    def operate(self, who, method, path, body=None, node=None, tries=100):
+    def operate(self, who, method, path, body=None, node=None, attempts=100):
         """Sends an operator's command, and resends it until there is a definite answer."""
-        for attempt in range(tries):
+        for attempt in range(attempts):
             at = node or self.nodes[attempt % len(self.nodes)]
             try:
                 status, headers, text = self.http(at.operators, method, path, TOKENS[who], body)
@@ -185,7 +185,7 @@
 
     def call(self, who, service, body, key=None, node=None, timeout=15):
         """Sends a caller's request; returns outcome, status and body. A broken connection gives the outcome "no answer"."""
-        at = node or random.choice([n for n in self.nodes if n.runs])
+        at = node or random.choice([n for n in self.nodes if n.is_running])
         headers = {"Idempotency-Key": key} if key else {}
         try:
             status, back, text = self.http(at.callers[who], "POST", "/v1/services/%s/requests" % service,
@@ -197,7 +197,7 @@
     def leader(self, group=0):
         """The node that itself reports to be the leader of a group, or None."""
         for node in self.nodes:
-            if not node.runs:
+            if not node.is_running:
                 continue
             try:
                 status, _, text = self.http(node.operators, "GET", "/v1/groups", TOKENS["admin"], timeout=8)
@@ -210,7 +210,7 @@
 
     def wait_ready(self):
         def ready():
-            return all(self.ready(n) for n in self.nodes if n.runs)
+            return all(self.ready(n) for n in self.nodes if n.is_running)
         wait_for(ready, 60)
         for group in range(len(self.halls) + 1):
             wait_for(lambda: self.leader(group), 60)
@@ -231,8 +231,8 @@
         for worker in self.workers:
             worker.stopping = True
         for node in self.nodes:
-            if node.runs:
-                node.thaw()
+            if node.is_running:
+                node.resume()
                 node.process.send_signal(signal.SIGTERM)
         for node in self.nodes:
             if node.process is not None:
@@ -241,14 +241,14 @@
             worker.stop()
         return codes
 
-    def keep(self, name):
+    def save_logs(self, name):
         """Copies the daemons' logs, their timeline and the records of the fakes into the build folder."""
         kept = os.path.join(self.build, "kept", "%s-%d" % (name, os.getpid()))
         os.makedirs(kept)
         for path in [node.log for node in self.nodes] + [os.path.join(self.folder, "records.txt")]:
             shutil.copy(path, kept)
         try:
-            timeline = self.operate("admin", "GET", "/v1/timeline", tries=6)[2]
+            timeline = self.operate("admin", "GET", "/v1/timeline", attempts=6)[2]
         except (AssertionError, ValueError) as error:
             timeline = ["Timeline not available: %s" % error]
         with open(os.path.join(kept, "timeline.txt"), "w") as f:
@@ -279,16 +279,16 @@
                 body = "%s %d-%d" % (self.service, number, self.left)
             key = uuid7() if self.keyed else None
             began = time.monotonic()
-            tries = []
+            attempts = []
             for _ in range(40):
                 outcome, status, text = self.cell.call(self.who, self.service, body, key)
-                tries.append(outcome)
+                attempts.append(outcome)
                 if outcome == "completed" or (outcome == "unknown" and status != 409):
                     break
                 time.sleep(0.1)
             good = outcome != "completed" or text == "answer to " + body
             with self.lock:
-                self.outcomes.append({"body": body, "outcome": outcome, "tries": tries, "right": good, "last": text[:200],
+                self.outcomes.append({"body": body, "outcome": outcome, "tries": attempts, "right": good, "last": text[:200],
                                       "seconds": time.monotonic() - began})
             time.sleep(self.pause)
 
--- a/tests/fakes/demo.py
+++ b/tests/fakes/demo.py
@@ -62,7 +62,7 @@
 
 
 def summary(cell, accepted, ended, outcomes):
-    nodes = [n for n in cell.nodes if n.runs]
+    nodes = [n for n in cell.nodes if n.is_running]
     placed = sum(h["reserved"]["cpu_millicores"] for h in cell.operate("admin", "GET", "/v1/hosts")[2])
     control_bytes = sum(cell.metric(n, "walkthread_peer_sent_bytes_total") for n in nodes)
     seconds = [o["seconds"] for o in outcomes if o["outcome"] == "completed"]
--- a/tests/fakes/platform_cell.py
+++ b/tests/fakes/platform_cell.py
@@ -18,8 +18,8 @@
 
 HOST, PREFIX = "example.test", "/q/"
 WORKER_CPU = 16000  # millicores
-FALL_S, RESTART_S = 0.01, 2.0  # delay until a task crashes its worker; delay until the worker's next incarnation
-LATE_S = (2.0, 4.0)  # delay of an unanswered order's execution; on the platform it is 2 to 12 s
+CRASH_DELAY_S, RESTART_DELAY_S = 0.01, 2.0  # delay until a task crashes its worker; delay until the worker's next incarnation
+LATE_EXECUTION_S = (2.0, 4.0)  # delay of an unanswered order's execution; on the platform it is 2 to 12 s
 
 
 def loopback(number):
@@ -84,35 +84,35 @@
 class Worker:
     """One incarnation of a worker. Implements capacity, lease, fencing token, run ids and tickets of the protocol."""
 
-    def __init__(self, cell, number, life=None):
+    def __init__(self, cell, number, worker_id=None):
         self.cell, self.number = cell, number
-        self.life = life or "i-%08x" % number  # its id; the next incarnation may keep it
-        self.born, self.zero = int(time.time() * 1000), time.monotonic()
+        self.worker_id = worker_id or "i-%08x" % number  # its id; the next incarnation may keep it
+        self.process_start_ms, self.clock_origin = int(time.time() * 1000), time.monotonic()
         self.lock = threading.Condition()
         self.fence = self.until = 0
         self.running, self.highest, self.finished, self.next_end = {}, {}, [], 1
-        self.sequence, self.beat_to, self.live = 0, None, True
+        self.sequence, self.heartbeat_address, self.live = 0, None, True
         self.draining, self.leaving_acknowledged = False, threading.Event()
-        self.hushed_until = self.quiet_until = 0.0
+        self.orders_unanswered_until = self.reports_paused_until = 0.0
         self.server = Server(self.handle)
         self.address = cell.reachable(self.server.address)
-        threading.Thread(target=self.beat, daemon=True).start()
+        threading.Thread(target=self.heartbeat_loop, daemon=True).start()
 
     def clock(self):
         """Milliseconds since the start of this incarnation."""
-        return int((time.monotonic() - self.zero) * 1000)
+        return int((time.monotonic() - self.clock_origin) * 1000)
 
     def handle(self, _method, path, headers, body):
-        if headers.get("X-Walkthread-Expect-Instance", self.life) != self.life:
+        if headers.get("X-Walkthread-Expect-Instance", self.worker_id) != self.worker_id:
             return 421, None
-        if time.monotonic() < self.hushed_until and not path.endswith("/hold"):
-            late = threading.Timer(random.uniform(*LATE_S), self.carry_out, (path, body, True))
+        if time.monotonic() < self.orders_unanswered_until and not path.endswith("/hold"):
+            late = threading.Timer(random.uniform(*LATE_EXECUTION_S), self.execute, (path, body, True))
             late.daemon = True
             late.start()
             return None, None
-        return self.carry_out(path, body)
+        return self.execute(path, body)
 
-    def carry_out(self, path, body, late=False):
+    def execute(self, path, body, late=False):
         with self.lock:
             if not self.live:
                 return None, None
@@ -138,18 +138,18 @@
         if body["until-ms"] < self.clock():
             return 409, {"clock-ms": self.clock(), "reason": "late"}
         step = body["task"].rsplit(".", 1)[0]
-        if time.monotonic() > self.cell.tickets.get((step, self.life, self.born, body.get("ticket")), 0):
+        if time.monotonic() > self.cell.tickets.get((step, self.worker_id, self.process_start_ms, body.get("ticket")), 0):
             return 409, {"clock-ms": self.clock(), "reason": "ticket"}
         self.check_start(body["task"])
         self.running[key] = time.monotonic()
-        self.cell.starts.append((body["task"], body["run-id"], self.life, time.monotonic()))
+        self.cell.starts.append((body["task"], body["run-id"], self.worker_id, time.monotonic()))
         if not late:
-            self.cell.orders.append(self.cell.starts[-1])
+            self.cell.timely_starts.append(self.cell.starts[-1])
         if self.cell.crashes_worker(body["task"]):
-            falling = threading.Timer(FALL_S, self.fall)
-            falling.daemon = True
-            falling.start()
-        elif not self.cell.lasts(body["task"]):
+            crash_timer = threading.Timer(CRASH_DELAY_S, self.crash_under_task)
+            crash_timer.daemon = True
+            crash_timer.start()
+        elif not self.cell.is_long_running(body["task"]):
             timer = threading.Timer(self.cell.run_seconds, self.complete, (key,))
             timer.daemon = True
             timer.start()
@@ -159,24 +159,26 @@
         """Records a violation if this worker is overcommitted or another live worker runs the same task."""
         used = sum(self.cell.cpu_of(t) for t, _ in self.running) + self.cell.cpu_of(task)
         if used > WORKER_CPU:
-            self.cell.violations.append("%s is overcommitted: %d of %d millicores with %s" % (self.life, used, WORKER_CPU, task))
-        for other in self.cell.workers + self.cell.leavers:
+            self.cell.violations.append("%s is overcommitted: %d of %d millicores with %s" % (
+                self.worker_id, used, WORKER_CPU, task))
+        for other in self.cell.workers + self.cell.leaving_workers:
             if other is not self and other.live and other.clock() <= other.until:
                 for t, run in list(other.running):
                     if t == task:
-                        self.cell.violations.append("%s runs on %s and %s at the same time" % (task, self.life, other.life))
+                        self.cell.violations.append("%s runs on %s and %s at the same time" % (
+                            task, self.worker_id, other.worker_id))
 
     def complete(self, key):
         with self.lock:
             if key in self.running and self.live:
                 self.end(key, "done" if self.clock() <= self.until else "lapsed")
 
-    def crash(self, next_life):
+    def crash(self, next_worker_id):
         """Ends this incarnation with all its runs, and starts the next one on the same host, under the given id."""
-        self.go_down()
-        return Worker(self.cell, self.number, next_life)
+        self.shut_down()
+        return Worker(self.cell, self.number, next_worker_id)
 
-    def go_down(self):
+    def shut_down(self):
         with self.lock:
             for task, _ in self.running if self.live else ():
                 self.cell.crashes[task] = self.cell.crashes.get(task, 0) + 1
@@ -185,30 +187,31 @@
             self.lock.notify_all()
         self.server.close()
 
-    def fall(self):
-        """Crashes under a task; the next incarnation starts RESTART_S later, unless another one has started meanwhile."""
+    def crash_under_task(self):
+        """Crashes under a task; the next incarnation starts RESTART_DELAY_S later, unless another one has started meanwhile."""
         if self.live:
-            self.go_down()
-            returning = threading.Timer(RESTART_S, self.come_back)
-            returning.daemon = True
-            returning.start()
+            self.shut_down()
+            restart_timer = threading.Timer(RESTART_DELAY_S, self.restart)
+            restart_timer.daemon = True
+            restart_timer.start()
 
-    def come_back(self):
+    def restart(self):
         if self in self.cell.workers:
-            self.cell.workers[self.cell.workers.index(self)] = Worker(self.cell, self.number, random.choice([self.life, self.life + "a"]))
+            self.cell.workers[self.cell.workers.index(self)] = Worker(
+                self.cell, self.number, random.choice([self.worker_id, self.worker_id + "a"]))
 
-    def leave(self, next_life, linger_s):
+    def leave(self, next_worker_id, linger_s):
         """Announces that it leaves, keeps serving for a while, and ends. Returns the worker on another host that replaces it."""
         self.draining = True
         self.report()
         ending = threading.Timer(linger_s, self.finish)
         ending.daemon = True
         ending.start()
-        return Worker(self.cell, self.cell.next_host(), next_life)
+        return Worker(self.cell, self.cell.next_host(), next_worker_id)
 
     def finish(self):
         for address in self.cell.operator_addresses():
-            if call(address, "DELETE", "/walkthread/instances/" + self.life, timeout=1.0)[0] == 200:
+            if call(address, "DELETE", "/walkthread/instances/" + self.worker_id, timeout=1.0)[0] == 200:
                 break
         with self.lock:
             self.live = False
@@ -233,15 +236,16 @@
         return 200, {"clock-ms": self.clock()}
 
     def hold(self, body):
-        self.cell.noted += [(r[1], r[2], time.monotonic()) for r in self.finished if r[0] <= body["last-seen"] and r[3] == "done"]
+        self.cell.acknowledged_ends += [(r[1], r[2], time.monotonic()) for r in self.finished
+                                        if r[0] <= body["last-seen"] and r[3] == "done"]
         self.finished = [row for row in self.finished if row[0] > body["last-seen"]]
         self.lock.wait_for(lambda: self.finished, body.get("wait-ms", 0) / 1000.0)
         running = [[task, run, "", 50] for task, run in self.running]
-        return 200, {"clock-ms": self.clock(), "born": self.born, "running": running, "finished": self.finished[:500]}
+        return 200, {"clock-ms": self.clock(), "born": self.process_start_ms, "running": running, "finished": self.finished[:500]}
 
-    def beat(self):
+    def heartbeat_loop(self):
         while self.live:
-            if time.monotonic() >= self.quiet_until:
+            if time.monotonic() >= self.reports_paused_until:
                 self.report()
             time.sleep(0.7)
 
@@ -250,18 +254,19 @@
         draining = self.draining
         body = {"service": "pool", "machine": "m-%d" % self.number, "address": self.address, "zone": "a",
                 "version": "v1", "slots": 8, "state": "draining" if draining else "ready", "room": {"cpu": WORKER_CPU, "mem-mb": 65536, "gpu": 0},
-                "labels": ["a", "r1-%d" % (self.number % 2)], "clock-ms": self.clock(), "sequence": self.sequence, "born": self.born}
+                "labels": ["a", "r1-%d" % (self.number % 2)], "clock-ms": self.clock(), "sequence": self.sequence,
+                "born": self.process_start_ms}
         body.update({"remaining-ms": 2000} if draining else {})
-        targets = ([self.beat_to] if self.beat_to else []) + self.cell.operator_addresses()
+        targets = ([self.heartbeat_address] if self.heartbeat_address else []) + self.cell.operator_addresses()
         for target in targets:
-            status, answer = call(target, "PUT", "/walkthread/instances/" + self.life, body, timeout=1.0)
+            status, answer = call(target, "PUT", "/walkthread/instances/" + self.worker_id, body, timeout=1.0)
             if status == 200:
-                self.beat_to = answer.get("heartbeat-addr")
+                self.heartbeat_address = answer.get("heartbeat-addr")
                 if draining and not self.leaving_acknowledged.is_set():
-                    self.cell.leaving[self.life] = time.monotonic()
+                    self.cell.leaving_acknowledged_at[self.worker_id] = time.monotonic()
                     self.leaving_acknowledged.set()
                 break
-            self.beat_to = None
+            self.heartbeat_address = None
 
 
 class PlatformCell:
@@ -271,16 +276,17 @@
         self.program = os.path.join(build, "walkthread-platformd")
         self.folder = tempfile.mkdtemp(prefix="walkthread-platform-")
         self.run_seconds = run_seconds
-        self.starts, self.done, self.noted, self.violations, self.tickets, self.workers = [], [], [], [], {}, []
-        self.orders, self.leaving = [], {}  # starts that were executed without delay; time at which each leaving was acknowledged
+        self.starts, self.done, self.acknowledged_ends, self.violations, self.tickets, self.workers = [], [], [], [], {}, []
+        # Starts that were executed without delay; the time at which each worker's leaving was acknowledged.
+        self.timely_starts, self.leaving_acknowledged_at = [], {}
         self.crashes = {}  # number of workers that crashed while running each task
-        self.hosts, self.leavers = workers, []  # leavers: workers that are leaving and have been replaced
+        self.hosts, self.leaving_workers = workers, []  # leaving_workers: those that have been replaced
         self.processes, self.logs = {}, {}
         self.peer, self.control, self.front, self.ready = (free_port() for _ in range(4))
         self.cores, self.edges = list(range(1, cores + 1)), list(range(cores + 1, cores + edges + 1))
         self.advisor = Server(self.advise)
         for number in self.cores + self.edges:
-            self.start(number, founding=True)
+            self.start(number, bootstrap=True)
         self.workers = [Worker(self, n) for n in range(workers)]
 
     def reachable(self, address):
@@ -291,7 +297,7 @@
         """Millicores that a task uses; 0 if the test does not know."""
         return 0
 
-    def lasts(self, _task):
+    def is_long_running(self, _task):
         """Whether a task runs until it is stopped; false if the test does not know."""
         return False
 
@@ -306,10 +312,10 @@
 
     def advise(self, _method, _path, _headers, body):
         time.sleep(0.005)
-        good = [[life, "t%d" % random.getrandbits(30)] for life in body["workers"]]
-        born = {worker.life: worker.born for worker in self.workers}
-        for life, ticket in good:
-            self.tickets[(body["step"], life, born.get(life), ticket)] = time.monotonic() + 1.5
+        good = [[worker_id, "t%d" % random.getrandbits(30)] for worker_id in body["workers"]]
+        process_start_ms = {worker.worker_id: worker.process_start_ms for worker in self.workers}
+        for worker_id, ticket in good:
+            self.tickets[(body["step"], worker_id, process_start_ms.get(worker_id), ticket)] = time.monotonic() + 1.5
         return 200, {"good": good, "validity-ms": 1500}
 
     def limit_process(self):
@@ -319,11 +325,11 @@
         """Settings of walkthread itself, which the platform does not provide, as lines."""
         return []
 
-    def settings(self, number, founding):
+    def settings(self, number, bootstrap):
         ip, core = loopback(number), number in self.cores
         lines = ['node-name = "n%d"' % number, 'ip = "%s"' % ip, 'zone = "a"', "internal-ports = [%d, %d]" % (self.peer, self.peer),
                  "seeds = [%s]" % ", ".join('"%s:%d"' % (loopback(n), self.control) for n in self.cores[:3]),
-                 "bootstrap = %s" % str(founding).lower(), 'advice = "%s"' % self.advisor.address,
+                 "bootstrap = %s" % str(bootstrap).lower(), 'advice = "%s"' % self.advisor.address,
                  'serves = ["%s"]' % ("control_plane" if core else "edge")] + self.own_settings(number)
         if core:
             lines.append('data-dir = "%s"' % os.path.join(self.folder, "disk-%d" % number))
@@ -336,11 +342,11 @@
             f.write("\n".join(lines) + "\n")
         return path
 
-    def start(self, number, founding=False):
+    def start(self, number, bootstrap=False):
         self.logs[number] = os.path.join(self.folder, "n%d.log" % number)
         with open(self.logs[number], "a") as log:
-            self.processes[number] = subprocess.Popen([self.program, "--settings", self.settings(number, founding)], stdout=log, stderr=log,
-                                                      preexec_fn=self.limit_process)
+            self.processes[number] = subprocess.Popen([self.program, "--settings", self.settings(number, bootstrap)], stdout=log,
+                                                      stderr=log, preexec_fn=self.limit_process)
 
     def kill(self, number, how=signal.SIGKILL):
         self.processes[number].send_signal(how)
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -59,13 +59,13 @@
             self.send(attempt, b"leaving", 503, "X-Walkthread-Leaving: 1\r\n")
             return True
         worker.records.add("exchange", host=worker.number, run=run, body=body)
-        worker.answering(run, 1)
+        worker.count_in_progress(run, 1)
         try:
-            return self.behave(attempt, body)
+            return self.answer_as_requested(attempt, body)
         finally:
-            worker.answering(run, -1)
+            worker.count_in_progress(run, -1)
 
-    def behave(self, attempt, body):
+    def answer_as_requested(self, attempt, body):
         answer = ("answer to " + body).encode()
         if "slow" in body:
             time.sleep(1.5)
@@ -102,7 +102,7 @@
         self.stopping = False
         self.frozen = threading.Event()
         self.endpoint = Endpoint(self)
-        self.cut_short = 0
+        self.interrupted_requests = 0
         records.add("worker", host=number, size=self.size[:3])
         threading.Thread(target=self.endpoint.serve_forever, args=(0.1,), daemon=True).start()
         self.threads = [threading.Thread(target=f, daemon=True) for f in (self.renew_loop, self.run_loop)]
@@ -119,7 +119,7 @@
             state = self.runs.get(run)
             return state is not None and state["state"] == "started" and time.monotonic() < self.lease_until
 
-    def answering(self, run, change):
+    def count_in_progress(self, run, change):
         with self.lock:
             self.answers[run] = self.answers.get(run, 0) + change
 
@@ -145,7 +145,7 @@
                 body = json.loads(reply.read())
                 if reply.status != 200:
                     raise OSError(body)
-                self.take(asked, sent, body)
+                self.apply_response(asked, sent, body)
             except (OSError, ValueError, http.client.HTTPException):
                 connection, gateway = None, gateway + 1
                 time.sleep(0.1)
@@ -166,7 +166,7 @@
                  "stopping": s["stopping"], "throttled": s["throttled"]} for run, s in self.runs.items()]
         return {"worker": self.number, "epoch": epoch, "wait_ms": self.wait_ms, "runs": runs}
 
-    def take(self, asked, sent, body):
+    def apply_response(self, asked, sent, body):
         if self.epoch == 0 or any(body.get(key) for key in ("register", "start", "stop", "forget")):
             runs = ["%s %s" % (r["run"], r["state"]) for r in sent.get("runs", [])]
             self.records.add("told", host=self.number, asked=asked, asked_as=sent["epoch"], said=runs, mine=self.epoch,
@@ -176,11 +176,11 @@
             if self.epoch != sent["epoch"]:
                 return  # the lease under which this renewal was sent has expired
             if body.get("register"):
-                self.drop_all("lease")
+                self.end_all("lease")
             else:
-                self.follow(asked, body)
+                self.apply_orders(asked, body)
 
-    def follow(self, asked, body):
+    def apply_orders(self, asked, body):
         self.epoch = self.previous = body["epoch"]
         self.lease_until = max(self.lease_until, asked + body["lease_ms"] / 1000)
         for run in body.get("forget", []):
@@ -188,7 +188,7 @@
         for order in body.get("start", []):
             self.start(order)
         for order in body.get("stop", []):
-            self.halt(order)
+            self.stop_run(order)
         for run in body.get("throttle", []):
             if run in self.runs:
                 self.runs[run]["throttled"] = True
@@ -210,7 +210,7 @@
                          organisation=order["organisation"],
                          size=(size["cpu_millicores"], size["memory_mib"], size["accelerators"]))
 
-    def halt(self, order):
+    def stop_run(self, order):
         run = order["run"]
         state = self.runs.get(run)
         if state is None:
@@ -220,7 +220,7 @@
             return
         if state["state"] == "started":
             if self.answers.get(run, 0) > 0:
-                self.cut_short += self.answers[run]
+                self.interrupted_requests += self.answers[run]
             self.end(run, "checkpointed" if order["checkpoint"] else "stopped")
 
     def end(self, run, how):
@@ -231,9 +231,9 @@
     def end_lease(self):
         if self.epoch != 0 and time.monotonic() > self.lease_until:
             self.records.add("lease_over", host=self.number, hall=self.hall)
-            self.drop_all("lease")
+            self.end_all("lease")
 
-    def drop_all(self, why):
+    def end_all(self, why):
         for run, state in self.runs.items():
             if state["state"] == "started":
                 self.records.add("end", run=run, host=self.number, how=why)
--- a/tests/process/common.py
+++ b/tests/process/common.py
@@ -22,13 +22,13 @@
             for node in cell.nodes:
                 with open(node.log) as log:
                     print("-- node %d\n%s" % (node.number, log.read()[-3000:]))
-            print("Logs and records were saved in %s." % cell.keep(test.__name__))
+            print("Logs and records were saved in %s." % cell.save_logs(test.__name__))
         cell.stop()
         cell.remove()
     print("%s passed." % test.__name__)
 
 
-def templates(cell):
+def create_templates(cell):
     cell.template("cruzadas", "grid-build", "gang", repeatable=False, run_seconds=1, tasks=2, **SMALL)
     cell.template("cruzadas", "clue-check", "batch", run_seconds=1, tasks=2, **SMALL)
     cell.template("cruzadas", "solve-verify", "service", repeatable=False, tasks=2, **SMALL)
@@ -36,20 +36,20 @@
     cell.template("aarhus", "balance-lookup", "service", repeatable=True, tasks=2, **SMALL)
 
 
-def accepted(answer):
+def expect_accepted(answer):
     status, _, body = answer
     assert status == 200, answer
     return body
 
 
-def served_everywhere(cell, who, service, keyed=False):
+def wait_until_served(cell, who, service, keyed=False):
     """Waits until every node serves requests to a service; a new service takes seconds to reach all nodes."""
     def served(node):
         return cell.call(who, service, "x", uuid7() if keyed else None, node=node)[0] == "completed"
     wait_for(lambda: all(served(node) for node in cell.nodes))
 
 
-def ended(cell, who, jobs):
+def wait_for_outcomes(cell, who, jobs):
     """Waits until jobs have ended and returns their outcomes."""
     def over():
         now = cell.jobs(who)
@@ -60,7 +60,7 @@
 def check_outcomes(cell, who, jobs):
     """Checks that all jobs completed. For each expired lease that a worker recorded, one not-repeatable job in that worker's hall
     may have an unknown outcome, as it may have run there. A stalled machine can let leases of 3 s expire."""
-    outcomes = ended(cell, who, jobs)
+    outcomes = wait_for_outcomes(cell, who, jobs)
     now = cell.jobs(who)
     assert set(outcomes) <= {"completed", "unknown"}, now
     over = cell.records.find("lease_over")
--- a/tests/process/test_bad_endpoints.py
+++ b/tests/process/test_bad_endpoints.py
@@ -3,16 +3,16 @@
 
 import threading
 
-from common import accepted, served_everywhere, templates, uuid7, with_cell
+from common import expect_accepted, wait_until_served, create_templates, uuid7, with_cell
 
 
-def callers_get_their_own_whole_answers(cell):
+def callers_get_complete_answers_to_their_own_requests(cell):
     cell.add_workers(3)
-    templates(cell)
-    accepted(cell.submit("aarhus", "balance", "balance-lookup", tasks=6))
-    accepted(cell.submit("cruzadas", "solve", "solve-verify", tasks=6))
-    served_everywhere(cell, "aarhus", "balance")
-    served_everywhere(cell, "cruzadas", "solve", keyed=True)
+    create_templates(cell)
+    expect_accepted(cell.submit("aarhus", "balance", "balance-lookup", tasks=6))
+    expect_accepted(cell.submit("cruzadas", "solve", "solve-verify", tasks=6))
+    wait_until_served(cell, "aarhus", "balance")
+    wait_until_served(cell, "cruzadas", "solve", keyed=True)
     results, lock = [], threading.Lock()
 
     def call(number):
@@ -36,11 +36,11 @@
     print("requests %d, wrong or partial answers 0" % len(results))
 
 
-def a_broken_exchange_is_unknown_and_never_runs_again(cell):
+def a_broken_request_is_unknown_and_never_runs_again(cell):
     cell.add_workers(3)
-    templates(cell)
-    accepted(cell.submit("cruzadas", "solve", "solve-verify", tasks=4))
-    served_everywhere(cell, "cruzadas", "solve", keyed=True)
+    create_templates(cell)
+    expect_accepted(cell.submit("cruzadas", "solve", "solve-verify", tasks=4))
+    wait_until_served(cell, "cruzadas", "solve", keyed=True)
     for what in ("close", "short", "wrong", "late"):
         key, body = uuid7(), "solve " + what
         outcome, status, _ = cell.call("cruzadas", "solve", body, key)
@@ -51,11 +51,11 @@
         assert len(cell.records.find("exchange", body=body)) == 1
 
 
-def a_resend_meanwhile_runs_nothing_twice(cell):
+def a_concurrent_resend_does_not_run_a_request_twice(cell):
     cell.add_workers(3)
-    templates(cell)
-    accepted(cell.submit("cruzadas", "solve", "solve-verify", tasks=4))
-    served_everywhere(cell, "cruzadas", "solve", keyed=True)
+    create_templates(cell)
+    expect_accepted(cell.submit("cruzadas", "solve", "solve-verify", tasks=4))
+    wait_until_served(cell, "cruzadas", "solve", keyed=True)
     for i in range(10):
         key, body, outcomes = uuid7(), "solve slow %d" % i, []
         threads = [threading.Thread(target=lambda n=n: outcomes.append(cell.call("cruzadas", "solve", body, key, node=n)))
@@ -72,6 +72,6 @@
     assert status == 422, status
 
 
-with_cell(callers_get_their_own_whole_answers)
-with_cell(a_broken_exchange_is_unknown_and_never_runs_again)
-with_cell(a_resend_meanwhile_runs_nothing_twice)
+with_cell(callers_get_complete_answers_to_their_own_requests)
+with_cell(a_broken_request_is_unknown_and_never_runs_again)
+with_cell(a_concurrent_resend_does_not_run_a_request_twice)
--- a/tests/process/test_bad_input.py
+++ b/tests/process/test_bad_input.py
@@ -8,7 +8,7 @@
 import sys
 import time
 
-from common import SMALL, TOKENS, accepted, served_everywhere, templates, uuid7, wait_for, with_cell
+from common import SMALL, TOKENS, expect_accepted, wait_until_served, create_templates, uuid7, wait_for, with_cell
 
 
 def raw(port, data, wait=1.0):
@@ -31,8 +31,8 @@
     return answer[0], answer[2]["error"]["code"]
 
 
-def operators_mistakes_are_told(cell):
-    templates(cell)
+def operator_errors_are_reported(cell):
+    create_templates(cell)
     put = lambda body, who="cruzadas": cell.operate(who, "PUT", "/v1/configurations/c", body)
     assert code_of(put("{no json")) == (400, 804)
     assert code_of(put([1, 2])) == (400, 804)
@@ -50,12 +50,12 @@
     status, _, text = cell.http(cell.nodes[0].operators, "GET", "/v1/jobs", "wrong")
     assert status == 401 and json.loads(text)["error"]["code"] == 805
     assert cell.http(cell.nodes[0].operators, "GET", "/v1/nothing", TOKENS["cruzadas"])[0] == 404
-    assert accepted(put({**good, "request_id": "e"}))["version"] == 1
+    assert expect_accepted(put({**good, "request_id": "e"}))["version"] == 1
 
 
-def what_can_never_run_is_refused(cell):
+def a_job_too_large_for_every_host_is_rejected(cell):
     cell.add_workers(2)
-    templates(cell)
+    create_templates(cell)
     wait_for(lambda: len(cell.operate("admin", "GET", "/v1/hosts")[2]) == 4)
 
     def refused():
@@ -64,11 +64,11 @@
     wait_for(refused)
 
 
-def callers_mistakes_are_told(cell):
+def caller_errors_are_reported(cell):
     cell.add_workers(2)
-    templates(cell)
-    accepted(cell.submit("cruzadas", "solve", "solve-verify"))
-    served_everywhere(cell, "cruzadas", "solve", keyed=True)
+    create_templates(cell)
+    expect_accepted(cell.submit("cruzadas", "solve", "solve-verify"))
+    wait_until_served(cell, "cruzadas", "solve", keyed=True)
 
     def code(*arguments):
         _, status, text = cell.call(*arguments)
@@ -89,16 +89,16 @@
         assert cell.call("cruzadas", "solve", "y", uuid7(), node=node)[0] == "completed"
 
 
-def broken_frames_close_only_their_connection(cell):
+def invalid_frames_close_only_their_connection(cell):
     node = cell.nodes[0]
     frame = lambda body, version=1: struct.pack(">IB", len(body), version) + body
     for data in (b"\xff\xff\xff\xff\x01", frame(b"x", 9), frame(b"\xc1"), frame(b"\x92\x00\xa1x"), os.urandom(200)):
         assert raw(node.peer, data, 2) == b""
-    accepted(cell.operate("cruzadas", "PUT", "/v1/teams/t", {"request_id": "t"}, node=node))
+    expect_accepted(cell.operate("cruzadas", "PUT", "/v1/teams/t", {"request_id": "t"}, node=node))
     assert cell.ready(node)
 
 
-def workers_mistakes_are_told(cell):
+def worker_errors_are_reported(cell):
     node = cell.nodes[0]
     def renew(body, token=TOKENS["worker"], hall="santiago-1"):
         status, _, text = cell.http(node.workers, "POST", "/v1/halls/%s/renew" % hall, token, body)
@@ -113,7 +113,7 @@
     assert status == 200 and json.loads(text)["register"] is True
 
 
-def settings_are_checked_as_a_whole(cell):
+def all_settings_errors_are_reported(cell):
     path = os.path.join(cell.folder, "bad.toml")
     with open(path, "w") as f:
         f.write('[node]\nid = 0\nroles = ["king"]\n[timing]\nfeed_ms = "fast"\n')
@@ -125,8 +125,8 @@
     assert good.returncode == 0
 
 
-def the_command_line_tells_by_its_exit_code(cell):
-    templates(cell)
+def command_line_exit_codes_show_the_result(cell):
+    create_templates(cell)
     def ctl(*words, token="cruzadas", address=None, text=""):
         command = [cell.ctl_path, "--address", address or "127.0.0.1:%d" % cell.nodes[0].operators, *words]
         return subprocess.run(command, input=text, capture_output=True, text=True,
@@ -144,7 +144,7 @@
     assert ctl("groups", token="admin").returncode == 0
 
 
-for test in (operators_mistakes_are_told, what_can_never_run_is_refused, callers_mistakes_are_told,
-             broken_frames_close_only_their_connection, workers_mistakes_are_told, settings_are_checked_as_a_whole,
-             the_command_line_tells_by_its_exit_code):
+for test in (operator_errors_are_reported, a_job_too_large_for_every_host_is_rejected, caller_errors_are_reported,
+             invalid_frames_close_only_their_connection, worker_errors_are_reported, all_settings_errors_are_reported,
+             command_line_exit_codes_show_the_result):
     with_cell(test)
--- a/tests/process/test_few_descriptors.py
+++ b/tests/process/test_few_descriptors.py
@@ -23,8 +23,8 @@
     def limit_process(self):
         resource.setrlimit(resource.RLIMIT_NOFILE, (LIMIT - 200, LIMIT - 200))
 
-    def settings(self, number, founding):
-        path = super().settings(number, founding)
+    def settings(self, number, bootstrap):
+        path = super().settings(number, bootstrap)
         with open(path, "a") as file:
             file.write("[limits]\nmax-fds = %d\n" % LIMIT)
         return path
--- a/tests/process/test_leader_killed.py
+++ b/tests/process/test_leader_killed.py
@@ -2,20 +2,20 @@
 
 import time
 
-from common import Callers, accepted, check_exchanges, check_outcomes, check_records, templates, wait_for, with_cell
+from common import Callers, expect_accepted, check_exchanges, check_outcomes, check_records, create_templates, wait_for, with_cell
 
 
 def leaders_and_followers_are_killed(cell):
     cell.add_workers(4)
-    templates(cell)
-    accepted(cell.submit("cruzadas", "solve", "solve-verify", tasks=4))
+    create_templates(cell)
+    expect_accepted(cell.submit("cruzadas", "solve", "solve-verify", tasks=4))
     wait_for(lambda: cell.call("cruzadas", "solve", "warm up", "01931b60-0000-7000-8000-000000000000")[1] != 0)
     callers = Callers(cell, "cruzadas", "solve", 150, keyed=True, pause=0.05)
     jobs = []
     for round_number in range(4):
         for template in ("clue-check", "grid-build"):
             name = "%s-%d" % (template, round_number)
-            jobs += accepted(cell.submit("cruzadas", name, template))["jobs"]
+            jobs += expect_accepted(cell.submit("cruzadas", name, template))["jobs"]
         victim = cell.leader(round_number % 3) or cell.nodes[round_number % 3]
         victim.kill()
         time.sleep(0.3)
--- a/tests/process/test_lost_disk.py
+++ b/tests/process/test_lost_disk.py
@@ -2,7 +2,7 @@
 
 import shutil
 
-from common import accepted, check_records, ended, templates, wait_for, with_cell
+from common import expect_accepted, check_records, wait_for_outcomes, create_templates, wait_for, with_cell
 
 
 def lose_and_replace(cell, node):
@@ -23,19 +23,19 @@
 
 def two_disks_are_lost_in_turn(cell):
     cell.add_workers(3)
-    templates(cell)
+    create_templates(cell)
     for i in range(500):
-        accepted(cell.submit("cruzadas", "changed", "clue-check", expected=i, tasks=1 + i % 3))
-    job = accepted(cell.submit("aarhus", "annual", "recalculation"))["jobs"]
+        expect_accepted(cell.submit("cruzadas", "changed", "clue-check", expected=i, tasks=1 + i % 3))
+    job = expect_accepted(cell.submit("aarhus", "annual", "recalculation"))["jobs"]
     lose_and_replace(cell, cell.nodes[0])
     lose_and_replace(cell, cell.nodes[1])
-    assert ended(cell, "aarhus", job) == ["completed"]
+    assert wait_for_outcomes(cell, "aarhus", job) == ["completed"]
     for node in cell.nodes:
         body = wait_for(lambda: cell.operate("cruzadas", "GET", "/v1/configurations/changed?local=true", node=node)[2])
         assert body["version"] == 500, body
     # The third node may fail too: the two repaired ones are a quorum.
     cell.nodes[2].kill()
-    accepted(cell.submit("cruzadas", "changed", "clue-check", expected=500))
+    expect_accepted(cell.submit("cruzadas", "changed", "clue-check", expected=500))
     check_records(cell, ["annual"])
     print("configuration changes 501, disks lost 2, reverted 0")
 
--- a/tests/process/test_operators_race.py
+++ b/tests/process/test_operators_race.py
@@ -3,11 +3,11 @@
 
 import threading
 
-from common import SMALL, accepted, templates, uuid7, wait_for, with_cell
+from common import SMALL, expect_accepted, create_templates, uuid7, wait_for, with_cell
 
 
-def equal_versions_race(cell):
-    templates(cell)
+def one_of_concurrent_changes_wins(cell):
+    create_templates(cell)
     for version in range(20):
         answers = []
 
@@ -24,18 +24,18 @@
         assert len(won) == 1 and len(lost) == 2, answers
         assert all(a[1]["X-Walkthread-Version"] == str(version + 1) for a in lost), lost
     # A resend through any process gets the first answer; another command with the same request id is rejected.
-    first = accepted(cell.submit("cruzadas", "again", "clue-check", request_id="once"))
+    first = expect_accepted(cell.submit("cruzadas", "again", "clue-check", request_id="once"))
     for node in cell.nodes:
-        assert accepted(cell.submit("cruzadas", "again", "clue-check", request_id="once", node=node)) == first
+        assert expect_accepted(cell.submit("cruzadas", "again", "clue-check", request_id="once", node=node)) == first
     status, _, body = cell.submit("cruzadas", "again", "clue-check", request_id="once", tasks=9)
     assert status == 422 and body["error"]["code"] == 403, body
     jobs = [j for j in cell.jobs("cruzadas").values() if j["configuration"] == "again"]
     assert len(jobs) == 1, jobs
 
 
-def nothing_of_the_other_organisation_is_seen(cell):
-    templates(cell)
-    job = accepted(cell.submit("cruzadas", "secret", "clue-check"))["jobs"][0]
+def data_of_another_organisation_is_not_visible(cell):
+    create_templates(cell)
+    job = expect_accepted(cell.submit("cruzadas", "secret", "clue-check"))["jobs"][0]
     status, _, mine = cell.operate("aarhus", "GET", "/v1/configurations/secret")
     other, _, unknown = cell.operate("aarhus", "GET", "/v1/configurations/never-made")
     assert (status, mine) == (other, unknown) and status == 404
@@ -45,22 +45,22 @@
     assert cell.operate("cruzadas", "GET", "/v1/hosts")[0] == 401
     # Names are scoped to an organisation.
     cell.template("aarhus", "clue-check", "batch", run_seconds=1, **SMALL)
-    assert accepted(cell.submit("aarhus", "secret", "clue-check"))["version"] == 1
+    assert expect_accepted(cell.submit("aarhus", "secret", "clue-check"))["version"] == 1
 
 
-def a_gateway_without_a_disk_follows(cell):
+def a_gateway_without_replicas_serves_requests(cell):
     """Processes with only the gateway role hold no replica but serve callers, operators and workers."""
     cell.add_workers(2)
-    templates(cell)
-    accepted(cell.submit("aarhus", "balance", "balance-lookup", node=cell.nodes[3]))
+    create_templates(cell)
+    expect_accepted(cell.submit("aarhus", "balance", "balance-lookup", node=cell.nodes[3]))
     wait_for(lambda: cell.call("aarhus", "balance", "x", node=cell.nodes[3])[0] == "completed")
-    accepted(cell.submit("cruzadas", "solve", "solve-verify", node=cell.nodes[3]))
+    expect_accepted(cell.submit("cruzadas", "solve", "solve-verify", node=cell.nodes[3]))
     wait_for(lambda: cell.call("cruzadas", "solve", "x", uuid7(), node=cell.nodes[3])[0] == "completed")
     withdrawn = cell.operate("aarhus", "DELETE", "/v1/configurations/balance?expected_version=1&request_id=w")
     assert withdrawn[0] == 200
     wait_for(lambda: cell.call("aarhus", "balance", "x", node=cell.nodes[3])[1] == 404)
 
 
-with_cell(equal_versions_race)
-with_cell(nothing_of_the_other_organisation_is_seen)
-with_cell(a_gateway_without_a_disk_follows, gateways=1)
+with_cell(one_of_concurrent_changes_wins)
+with_cell(data_of_another_organisation_is_not_visible)
+with_cell(a_gateway_without_replicas_serves_requests, gateways=1)
--- a/tests/process/test_planned_stop.py
+++ b/tests/process/test_planned_stop.py
@@ -4,15 +4,15 @@
 import threading
 import time
 
-from common import (Callers, accepted, check_exchanges, check_records, ended, served_everywhere, templates, wait_for,
-                    with_cell)
+from common import (Callers, expect_accepted, check_exchanges, check_records, wait_for_outcomes, wait_until_served, create_templates,
+                    wait_for, with_cell)
 
 
 def sigterm_under_load(cell):
     cell.add_workers(3)
-    templates(cell)
-    accepted(cell.submit("aarhus", "balance", "balance-lookup", tasks=4))
-    served_everywhere(cell, "aarhus", "balance")
+    create_templates(cell)
+    expect_accepted(cell.submit("aarhus", "balance", "balance-lookup", tasks=4))
+    wait_until_served(cell, "aarhus", "balance")
     victim = cell.leader(0)
     stopping = threading.Event()
     results = []
@@ -30,8 +30,8 @@
     for thread in threads:
         thread.join()
     assert code == 0, code
-    cut = [r for r in results if r[0] != "completed"]
-    assert results and not cut, cut[:5]
+    interrupted = [r for r in results if r[0] != "completed"]
+    assert results and not interrupted, interrupted[:5]
     assert cell.leader(0) is not victim
     print("requests %d, interrupted 0" % len(results))
 
@@ -43,13 +43,13 @@
         return False
 
 
-def a_leaving_host_gets_nothing_new(cell):
+def a_leaving_host_gets_no_new_work(cell):
     cell.add_workers(2)
-    templates(cell)
-    accepted(cell.submit("aarhus", "balance", "balance-lookup", tasks=8))
-    job = accepted(cell.submit("aarhus", "annual", "recalculation", run_seconds=6, tasks=4))["jobs"]
+    create_templates(cell)
+    expect_accepted(cell.submit("aarhus", "balance", "balance-lookup", tasks=8))
+    job = expect_accepted(cell.submit("aarhus", "annual", "recalculation", run_seconds=6, tasks=4))["jobs"]
     wait_for(lambda: len(cell.records.find("start")) == 12)
-    served_everywhere(cell, "aarhus", "balance")
+    wait_until_served(cell, "aarhus", "balance")
     callers = Callers(cell, "aarhus", "balance", 400, pause=0.02)
     leaving = cell.workers[0]
     began = time.monotonic()
@@ -60,12 +60,12 @@
     late = [e["at"] - began for e in cell.records.find("exchange", host=leaving.number) if e["at"] > began]
     starts = [e["at"] - began for e in cell.records.find("start", host=leaving.number) if e["at"] > began]
     assert max(late + starts, default=0) < 5, (max(late), starts)
-    assert leaving.cut_short == 0 and sum(w.cut_short for w in cell.workers) == 0
-    assert ended(cell, "aarhus", job) == ["completed"]
+    assert leaving.interrupted_requests == 0 and sum(w.interrupted_requests for w in cell.workers) == 0
+    assert wait_for_outcomes(cell, "aarhus", job) == ["completed"]
     check_records(cell, ["annual"])
     check_exchanges(cell, [], "none")
     print("last new request %.1f s after leaving, none interrupted" % max(late, default=0))
 
 
 with_cell(sigterm_under_load)
-with_cell(a_leaving_host_gets_nothing_new)
+with_cell(a_leaving_host_gets_no_new_work)
--- a/tests/process/test_ports.py
+++ b/tests/process/test_ports.py
@@ -9,7 +9,7 @@
 from ports import free_port, lock_block  # noqa: E402
 
 
-def ports_lie_below_those_of_outgoing_connections():
+def ports_are_below_the_ephemeral_range():
     with open("/proc/sys/net/ipv4/ip_local_port_range") as kernel:
         lowest = int(kernel.read().split()[0])
     assert all(free_port() < lowest for _ in range(20))
@@ -21,7 +21,7 @@
         assert free_port() != following
 
 
-def no_two_processes_have_one_block():
+def two_processes_never_share_a_block():
     first, first_lock = lock_block(7)
     second, second_lock = lock_block(7)
     assert first != second
@@ -29,7 +29,7 @@
     second_lock.close()
 
 
-ports_lie_below_those_of_outgoing_connections()
-no_two_processes_have_one_block()
+ports_are_below_the_ephemeral_range()
+two_processes_never_share_a_block()
 a_port_in_use_at_another_address_is_not_free()
 print("ports passed.")
--- a/tests/process/test_power_and_disks.py
+++ b/tests/process/test_power_and_disks.py
@@ -11,11 +11,11 @@
 STEPS = [{"cpu": 1000, "mem-mb": 100, "estimate-ms": 300, "count": 3}]
 
 
-def name_of(number):
+def submission(number):
     return "%016x" % (0xD15C000000000000 + number)
 
 
-def held_version(cell):
+def current_version(cell):
     for address in cell.operator_addresses():
         status, held = call(address, "GET", "/walkthread/config", timeout=2)
         if status == 200:
@@ -23,7 +23,7 @@
     return None
 
 
-def strike(cell, leader):
+def kill_all_and_lose_two_disks(cell, leader):
     """Kills all processes and deletes two disks before any process is restarted."""
     lost = [leader, next(n for n in cell.cores if n != leader)]
     for process in cell.processes.values():
@@ -46,16 +46,16 @@
     wait_for(cell.configure, 30)
     wait_for(lambda: cell.ask("GET")[0] == 200, 30)
     accepted, version = [], 1
-    for strikes in range(2):
+    for round_number in range(2):
         wait_for(lambda: repaired(cell), 40)
         leader = wait_for(cell.leader, 30)
         for number in range(12):
-            accepted.append(name_of(20 * strikes + number))
+            accepted.append(submission(20 * round_number + number))
             cell.submit(accepted[-1], STEPS)
         version += 1
         wait_for(lambda: cell.configure(version), 30)
-        strike(cell, leader)
-        wait_for(lambda: held_version(cell) == version, 40)
+        kill_all_and_lose_two_disks(cell, leader)
+        wait_for(lambda: current_version(cell) == version, 40)
         for name in accepted:
             wait_for(lambda name=name: cell.state(name) == "completed", 60)
     assert not cell.overlaps(), cell.overlaps()
--- a/tests/process/test_restart_after_changes.py
+++ b/tests/process/test_restart_after_changes.py
@@ -1,15 +1,15 @@
 """A process restarts after missing hundreds of configuration changes and catches up; then the whole cell restarts."""
 
-from common import accepted, templates, wait_for, with_cell
+from common import expect_accepted, create_templates, wait_for, with_cell
 
 
 def a_late_process_catches_up(cell):
-    templates(cell)
+    create_templates(cell)
     late = next(n for n in cell.nodes if n is not cell.leader(0))
     late.kill()
     rest = [n for n in cell.nodes if n is not late]
     for i in range(500):
-        accepted(cell.submit("aarhus", "changed", "balance-lookup", expected=i, tasks=1 + i % 4, node=rest[i % 2]))
+        expect_accepted(cell.submit("aarhus", "changed", "balance-lookup", expected=i, tasks=1 + i % 4, node=rest[i % 2]))
     late.start()
 
     def caught_up():
--- a/tests/process/test_silent_connections.py
+++ b/tests/process/test_silent_connections.py
@@ -29,11 +29,11 @@
     wait_for(lambda: cell.ask("GET")[0] == 200, 30)
     work(cell, 0, 6)
     workers = {w.server.address for w in cell.workers}
-    cell.faults.mute(lambda link: link[1] in workers)  # polls and orders
+    cell.faults.discard_open(lambda link: link[1] in workers)  # polls and orders
     work(cell, 100, 6)
-    cell.faults.mute(lambda link: link[1] not in workers)  # between cores, between edges and cores, and advisor queries
+    cell.faults.discard_open(lambda link: link[1] not in workers)  # between cores, between edges and cores, and advisor queries
     work(cell, 200, 6)
-    cell.faults.mute(lambda link: True)
+    cell.faults.discard_open(lambda link: True)
     work(cell, 300, 6)
     assert cell.configure(7)
     assert not cell.overlaps(), cell.overlaps()
--- a/tests/process/test_stand_in_lease.py
+++ b/tests/process/test_stand_in_lease.py
@@ -55,7 +55,7 @@
         pass
 
 
-def a_late_answer_brings_no_epoch_back(folder):
+def a_late_answer_does_not_restore_an_expired_epoch(folder):
     gateway = Gateway()
     threading.Thread(target=gateway.serve_forever, args=(0.05,), daemon=True).start()
     records = Records(os.path.join(folder, "records.txt"))
@@ -70,5 +70,5 @@
 
 
 with tempfile.TemporaryDirectory() as kept:
-    a_late_answer_brings_no_epoch_back(kept)
-print("a_late_answer_brings_no_epoch_back passed.")
+    a_late_answer_does_not_restore_an_expired_epoch(kept)
+print("a_late_answer_does_not_restore_an_expired_epoch passed.")
--- a/tests/process/test_stand_in_records.py
+++ b/tests/process/test_stand_in_records.py
@@ -20,7 +20,7 @@
     return records
 
 
-def tasks_of_two_halls_are_two(folder):
+def equal_task_numbers_of_two_halls_are_different_tasks(folder):
     apart = [("start", "1/0/1", 1, "a", True), ("start", "1/0/1", 2, "b", True), ("end", "1/0/1", 1, "a", True),
              ("start", "1/0/2", 1, "a", True)]
     records = records_of(folder, "apart", apart)
@@ -28,7 +28,7 @@
     assert not records.over_size(), records.over_size()
 
 
-def one_task_in_two_places_is_seen(folder):
+def one_task_in_two_places_is_detected(folder):
     service = [("start", "1/0/1", 1, "a", True), ("start", "1/0/2", 2, "a", True)]
     assert records_of(folder, "service", service).overlaps() == [("1/0/1", "1/0/2")]
     same_run = [("start", "1/0/1", 1, "a", False), ("start", "1/0/1", 2, "b", False)]
@@ -37,13 +37,14 @@
     assert records_of(folder, "elsewhere", ended_elsewhere).overlaps() == [("1/0/1", "1/0/2")]
 
 
-def a_host_is_freed_by_its_own_ends(folder):
+def only_ends_on_the_same_host_release_capacity(folder):
     events = [("start", "1/0/1", 1, "a", True), ("start", "1/0/1", 2, "b", True), ("end", "1/0/1", 2, "b", True),
               ("start", "2/0/1", 1, "a", False)]
     assert records_of(folder, "size", events).over_size() == {1}
 
 
 with tempfile.TemporaryDirectory() as kept:
-    for test in (tasks_of_two_halls_are_two, one_task_in_two_places_is_seen, a_host_is_freed_by_its_own_ends):
+    for test in (equal_task_numbers_of_two_halls_are_different_tasks, one_task_in_two_places_is_detected,
+                 only_ends_on_the_same_host_release_capacity):
         test(kept)
         print("%s passed." % test.__name__)
--- a/tests/soak/peer_proxy.py
+++ b/tests/soak/peer_proxy.py
@@ -17,24 +17,24 @@
 
     def __init__(self):
         self.lock = threading.Lock()
-        self.silent, self.delay = set(), {}
-        self.open, self.muted = {}, set()
+        self.blocked, self.delay = set(), {}
+        self.open, self.discarding = {}, set()
 
-    def set_silent(self, links, on):
+    def set_blocked(self, links, on):
         with self.lock:
-            self.silent = self.silent | set(links) if on else self.silent - set(links)
+            self.blocked = self.blocked | set(links) if on else self.blocked - set(links)
 
     def set_delay(self, links, seconds):
         with self.lock:
             for link in links:
                 self.delay[link] = seconds
 
-    def mute(self, chosen):
+    def discard_open(self, chosen):
         """Open connections of the links selected by `chosen` discard all data from now on; new connections work."""
         with self.lock:
             for link, pairs in self.open.items():
                 if chosen(link):
-                    self.muted.update(side for pair in pairs for side in pair)
+                    self.discarding.update(side for pair in pairs for side in pair)
 
     def reset(self, links):
         """Closes the open connections of these links with a TCP reset."""
@@ -64,48 +64,48 @@
     def accept_loop(self):
         while self.live:
             try:
-                near, _ = self.listener.accept()
+                client, _ = self.listener.accept()
             except OSError:
                 return
             if not self.live:
-                self.held.append(near)
+                self.held.append(client)
                 return
-            threading.Thread(target=self.serve, args=(near,), daemon=True).start()
+            threading.Thread(target=self.serve, args=(client,), daemon=True).start()
 
-    def serve(self, near):
+    def serve(self, client):
         try:
-            first = near.recv(65536)
+            first = client.recv(65536)
             found = ADDRESS.search(first)
             sender = found.group().split(b":")[0].decode() if found else "unknown"
-            far = socket.create_connection(self.target, timeout=2)
-            far.settimeout(None)
+            server = socket.create_connection(self.target, timeout=2)
+            server.settimeout(None)
         except OSError:
-            reset(near)
+            reset(client)
             return
         link = (sender, self.name)
         with self.faults.lock:
-            self.faults.open.setdefault(link, []).append((near, far))
-        back = threading.Thread(target=self.pump, args=(far, near, (self.name, sender), b""), daemon=True)
+            self.faults.open.setdefault(link, []).append((client, server))
+        back = threading.Thread(target=self.pump, args=(server, client, (self.name, sender), b""), daemon=True)
         back.start()
-        self.pump(near, far, link, first)
+        self.pump(client, server, link, first)
         back.join()
         with self.faults.lock:
-            self.faults.open[link].remove((near, far))
-            self.faults.muted -= {near, far}
-        near.close()
-        far.close()
+            self.faults.open[link].remove((client, server))
+            self.faults.discarding -= {client, server}
+        client.close()
+        server.close()
 
     def pump(self, source, sink, link, data):
         """Forwards one direction of a connection; `link` is its (sender, receiver)."""
         try:
             while data or (data := source.recv(65536)):
-                if source in self.faults.muted:
+                if source in self.faults.discarding:
                     data = b""
                     continue
                 delay = self.faults.delay.get(link, 0)
                 if delay:
                     time.sleep(delay * random.uniform(0.5, 1.5))
-                while link in self.faults.silent and self.live:
+                while link in self.faults.blocked and self.live:
                     time.sleep(POLL_S)
                 sink.sendall(data)
                 data = b""
@@ -117,21 +117,21 @@
             except OSError:
                 pass  # already closed
 
-    def refuse(self):
+    def simulate_process_exit(self):
         """Permanently resets and refuses connections, as if the process behind it had ended."""
         self.live = False
         self.listener.shutdown(socket.SHUT_RDWR)  # unblocks the pending accept; close() alone would not
         self.listener.close()
         with self.faults.lock:
             pairs = [pair for link, found in self.faults.open.items() if link[1] == self.name for pair in found]
-        for near, far in pairs:
-            reset(near)
-            far.close()
+        for client, server in pairs:
+            reset(client)
+            server.close()
 
-    def fall_silent(self):
+    def simulate_power_loss(self):
         """Permanently discards data of open connections and answers no new ones, as if the machine had lost power."""
         self.live = False
-        self.faults.mute(lambda link: link[1] == self.name)
+        self.faults.discard_open(lambda link: link[1] == self.name)
         self.listener.listen(0)
         for _ in range(QUEUED):  # once the accept queue is full, the kernel answers no further connection
             waiting = socket.socket()
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -7,21 +7,21 @@
 CALM_S = 4.0             # after the last fault, before time limits are checked again
 DRAIN_S = 2.0            # a worker whose leaving was acknowledged gets no new run after that: the platform's shortest drain
 # Fault-free time in which accepted work must finish: the longest lease, the drop of a worker, two steps, and a busy machine.
-STANDS_S = 20.0
+STALL_LIMIT_S = 20.0
 
 
-class Promises:
+class GuaranteeChecker:
     """Collects observations and records each violated guarantee."""
 
     def __init__(self, cell):
-        self.cell, self.lock, self.broken = cell, threading.Lock(), []
+        self.cell, self.lock, self.failures = cell, threading.Lock(), []
         self.steps, self.answers, self.cancelled, self.completed = cell.sizes, {}, {}, set()
         self.versions_acked, self.calm_since = 0, time.monotonic()
-        self.accepted_at, self.stands_s, self.led_since = {}, float("inf"), 0.0
+        self.accepted_at, self.stall_limit_s, self.led_since = {}, float("inf"), 0.0
 
     def fail(self, text):
         with self.lock:
-            self.broken.append("%.2f %s" % (time.monotonic(), text))
+            self.failures.append("%.2f %s" % (time.monotonic(), text))
 
     def submitted(self, name, status):
         with self.lock:
@@ -32,7 +32,7 @@
     def accepted(self, name):
         return 200 in self.answers.get(name, [])
 
-    def saw_state(self, name, status, state, asked_at):
+    def check_state(self, name, status, state, asked_at):
         """Checks one read of a submission's state. Time limits apply only after a fault-free period."""
         if status == 410 and asked_at - self.calm_since > CALM_S:
             self.fail("status 410 for the accepted submission " + name)
@@ -45,13 +45,13 @@
             self.fail("%s was completed and is now %s" % (name, state))
         if state == "completed":
             self.check_complete(name)
-        stood = asked_at - max(self.calm_since, self.led_since, self.accepted_at.get(name, asked_at))
-        if state in ("queued", "running") and name not in self.cancelled and stood > self.stands_s:
-            self.fail("%s was accepted and is still %s after %.1f s without faults" % (name, state, stood))
-        if (state == "failed" and not self.may_be_given_up(name)) or (state == "cancelled" and name not in self.cancelled):
+        stalled_for = asked_at - max(self.calm_since, self.led_since, self.accepted_at.get(name, asked_at))
+        if state in ("queued", "running") and name not in self.cancelled and stalled_for > self.stall_limit_s:
+            self.fail("%s was accepted and is still %s after %.1f s without faults" % (name, state, stalled_for))
+        if (state == "failed" and not self.may_be_poison_task(name)) or (state == "cancelled" and name not in self.cancelled):
             self.fail("%s is %s without a reason" % (name, state))
 
-    def may_be_given_up(self, name):
+    def may_be_poison_task(self, name):
         """No task fails by itself in a soak; one that crashed two workers may be failed as a poison task."""
         return any(count >= 2 and task.startswith(name) for task, count in list(self.cell.crashes.items()))
 
@@ -65,11 +65,11 @@
 
     def check_cancelled(self):
         """No task of a cancelled submission still runs after a fault-free period longer than stops take."""
-        for worker in self.cell.workers + self.cell.leavers:
+        for worker in self.cell.workers + self.cell.leaving_workers:
             left = list(worker.running) if worker.live and worker.clock() <= worker.until else []
             for task, run in left:
                 if task.split(".")[0] in self.cancelled:
-                    self.fail("%s/%d still runs on %s after its cancellation" % (task, run, worker.life))
+                    self.fail("%s/%d still runs on %s after its cancellation" % (task, run, worker.worker_id))
 
     def check_starts(self):
         """Checks the workers' records: no start that was never submitted, was refused, repeated, too early or cancelled."""
@@ -77,7 +77,7 @@
         first_done = {}
         for task, _, at in done:
             first_done[task] = min(at, first_done.get(task, at))
-        for task, run, life, at in starts:
+        for task, run, worker_id, at in starts:
             name, _, step, _ = task.split(".")
             if name not in self.steps:
                 self.fail("start of a task that was never submitted: " + task)
@@ -87,16 +87,16 @@
             for earlier in self.steps[name][int(step)].get("after-rev", []):
                 for i in range(self.steps[name][earlier]["count"]):
                     if first_done.get("%s.0.%d.%d" % (name, earlier, i), at + 1) > at:
-                        self.fail("%s started on %s before step %d was done" % (task, life, earlier))
+                        self.fail("%s started on %s before step %d was done" % (task, worker_id, earlier))
             if at > self.cancelled.get(name, at) + CANCELLED_AFTER_S:
                 self.fail("%s/%d started %.1f s after its cancellation" % (task, run, at - self.cancelled[name]))
         for text in self.cell.violations:
             self.fail(text)
-        for task, run, life, at in list(self.cell.orders):
-            if at > self.cell.leaving.get(life, at) + DRAIN_S:
+        for task, run, worker_id, at in list(self.cell.timely_starts):
+            if at > self.cell.leaving_acknowledged_at.get(worker_id, at) + DRAIN_S:
                 self.fail("%s/%d started on %s %.1f s after the worker's leaving was acknowledged" % (
-                    task, run, life, at - self.cell.leaving[life]))
-        noted = {(task, run) for task, run, _ in list(self.cell.noted)}
+                    task, run, worker_id, at - self.cell.leaving_acknowledged_at[worker_id]))
+        acknowledged_ends = {(task, run) for task, run, _ in list(self.cell.acknowledged_ends)}
         for start in self.cell.overlaps():
-            if any(d[0] == start[0] and d[1] < start[1] and d[2] < start[3] and (d[0], d[1]) in noted for d in done):
+            if any(d[0] == start[0] and d[1] < start[1] and d[2] < start[3] and (d[0], d[1]) in acknowledged_ends for d in done):
                 self.fail("%s/%d started after the completion of an earlier run had been acknowledged" % start[:2])
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -33,22 +33,22 @@
 from peer_proxy import Faults, PeerProxy  # noqa: E402
 from platform_cell import HOST, PREFIX, PlatformCell, call, loopback, wait_for  # noqa: E402
 from ports import free_port  # noqa: E402
-from promises import CALM_S, STANDS_S, Promises  # noqa: E402
-from trouble import Trouble  # noqa: E402
+from promises import CALM_S, STALL_LIMIT_S, GuaranteeChecker  # noqa: E402
+from trouble import FaultInjector  # noqa: E402
 
 SMALL = {"cpu": 1500, "mem-mb": 200, "estimate-ms": 300}
 KINDS = [[dict(SMALL, count=2)], [dict(SMALL, count=4), dict(SMALL, count=2, **{"after-rev": [0]})],
          [dict(SMALL, count=4, cpu=4000, gang=True)], [dict(SMALL, count=5, checkpointing=True, **{"anti-affinity": 2})]]
-LASTING = [dict(SMALL, count=2, **{"long-running": True})]  # runs until cancelled
-LASTING_SHARE = 0.05
+LONG_RUNNING = [dict(SMALL, count=2, **{"long-running": True})]  # runs until cancelled
+LONG_RUNNING_SHARE = 0.05
 POISON_SHARE = 0.03      # with --poison: about one per second on six workers
 CANCEL_SHARE = 0.1
-QUIET_S = 5.0            # time for which a worker's reports are lost after its leaving was acknowledged
-REST_S = 6.0             # fault-free time after a single fault; above CALM_S
-GOERS = 8                # with --gone: additional workers that may be lost
-LEADER_LOOK_S = 0.3
+REPORTS_PAUSED_S = 5.0            # time for which a worker's reports are lost after its leaving was acknowledged
+CALM_AFTER_FAULT_S = 6.0             # fault-free time after a single fault; above CALM_S
+EXTRA_WORKERS = 8                # with --gone: additional workers that may be lost
+LEADER_POLL_S = 0.3
 TERM = re.compile(r"\nwalkthread_term (\d+)")
-FINISH_S = 60            # time limit for accepted work to finish after the last fault
+COMPLETION_TIMEOUT_S = 60            # time limit for accepted work to finish after the last fault
 CLIENTS = 4
 
 
@@ -77,14 +77,14 @@
         name, _, step, _ = task.split(".")
         return self.sizes[name][int(step)]["cpu"] if name in self.sizes else 0
 
-    def lasts(self, task):
+    def is_long_running(self, task):
         name, _, step, _ = task.split(".")
         return name in self.sizes and "long-running" in self.sizes[name][int(step)]
 
     def crashes_worker(self, task):
         return task.split(".")[0] in self.poison and task.endswith(".0.0.0")
 
-    def everyone(self):
+    def all_addresses(self):
         return [loopback(n) for n in self.cores + self.edges]
 
     def stop(self):
@@ -99,11 +99,12 @@
 class Client(threading.Thread):
     """Submits, reads and cancels over persistent connections."""
 
-    def __init__(self, number, cell, promises, seed):
+    def __init__(self, number, cell, checker, seed):
         super().__init__(daemon=True)
-        self.number, self.cell, self.promises, self.random = number, cell, promises, random.Random(seed * 100 + number)
+        self.number, self.cell, self.checker, self.random = number, cell, checker, random.Random(seed * 100 + number)
         self.stopping, self.channels, self.names = threading.Event(), {}, []
-        self.poison_share, self.draw = 0.0, random.Random(seed * 1000 + number)  # a separate generator, so that --poison does not change other random choices
+        # A separate generator, so that --poison does not change other random choices.
+        self.poison_share, self.poison_random = 0.0, random.Random(seed * 1000 + number)
 
     def exchange(self, edge, method, name, body=None):
         channel = self.channels.get(edge)
@@ -128,46 +129,46 @@
 
     def submit(self):
         name = "%016x" % self.random.getrandbits(64)
-        lasting = self.random.random() < LASTING_SHARE
-        steps = LASTING if lasting else self.random.choice(KINDS)
-        self.promises.steps[name] = steps
-        if not lasting and self.draw.random() < self.poison_share:
+        long_running = self.random.random() < LONG_RUNNING_SHARE
+        steps = LONG_RUNNING if long_running else self.random.choice(KINDS)
+        self.checker.steps[name] = steps
+        if not long_running and self.poison_random.random() < self.poison_share:
             self.cell.poison.add(name)
         for _ in range(6):
             status, _ = self.exchange(self.random.choice(self.cell.edges), "POST", name, {"spec": "text", "steps": steps})
-            self.promises.submitted(name, status)
+            self.checker.submitted(name, status)
             if status == 200:
                 self.names.append(name)
                 break
             if status in (429, 503):
                 break
             time.sleep(0.1)
-        if status == 200 and (lasting or self.random.random() < CANCEL_SHARE):
-            time.sleep(self.random.uniform(0.2, 1.0) if lasting else 0.0)
+        if status == 200 and (long_running or self.random.random() < CANCEL_SHARE):
+            time.sleep(self.random.uniform(0.2, 1.0) if long_running else 0.0)
             self.cancel(name)
 
     def cancel(self, name):
         # The state may be `cancelled` from the first attempt on; the time limit on starts begins with the acknowledgement.
-        self.promises.cancelled[name] = float("inf")
+        self.checker.cancelled[name] = float("inf")
         for _ in range(40):
             status, _ = self.exchange(self.random.choice(self.cell.edges), "DELETE", name)
             if status == 200:
-                self.promises.cancelled[name] = time.monotonic()
+                self.checker.cancelled[name] = time.monotonic()
                 return
             time.sleep(0.1)
 
     def read(self, name):
         asked_at = time.monotonic()
         status, answer = self.exchange(self.random.choice(self.cell.edges), "GET", name)
-        self.promises.saw_state(name, status, answer.get("state"), asked_at)
+        self.checker.check_state(name, status, answer.get("state"), asked_at)
 
 
 class Operator(threading.Thread):
     """Increases the configuration's version and reads it back."""
 
-    def __init__(self, cell, promises, seed):
+    def __init__(self, cell, checker, seed):
         super().__init__(daemon=True)
-        self.cell, self.promises, self.random = cell, promises, random.Random(seed * 7 + 3)
+        self.cell, self.checker, self.random = cell, checker, random.Random(seed * 7 + 3)
         self.stopping, self.version = threading.Event(), 1
 
     def run(self):
@@ -175,128 +176,128 @@
             time.sleep(self.random.uniform(0.2, 1.0))
             self.version += self.random.randint(1, 3)
             if self.cell.configure(self.version):
-                self.promises.versions_acked = self.version
+                self.checker.versions_acked = self.version
             self.read()
 
     def read(self):
-        acked = self.promises.versions_acked
+        acked = self.checker.versions_acked
         status, held = call(self.random.choice(self.cell.operator_addresses()), "GET", "/walkthread/config", timeout=1.5)
         if status == 200 and held["version"] < acked:
-            self.promises.fail("configuration version %d was read after version %d was acknowledged" % (held["version"], acked))
+            self.checker.fail("configuration version %d was read after version %d was acknowledged" % (held["version"], acked))
 
 
-def strike_in_series(trouble, promises, end):
+def inject_overlapping_faults(injector, checker, end):
     """Injects overlapping faults."""
-    while time.monotonic() < end and not promises.broken:
-        promises.calm_since = float("inf")
-        for _ in range(trouble.random.randint(1, 4)):
-            trouble.strike()
-            time.sleep(trouble.random.uniform(0.0, 1.2))
-        time.sleep(trouble.random.uniform(0.5, 3.0))
+    while time.monotonic() < end and not checker.failures:
+        checker.calm_since = float("inf")
+        for _ in range(injector.random.randint(1, 4)):
+            injector.inject()
+            time.sleep(injector.random.uniform(0.0, 1.2))
+        time.sleep(injector.random.uniform(0.5, 3.0))
 
 
-def strike_after_acknowledgements(cell, trouble, promises, end):
+def inject_after_acknowledgements(cell, injector, checker, end):
     """Injects one fault at a time into the leader, right after an acknowledgement, followed by a fault-free period."""
     kinds = ["leaving", "leaving", "cancel", "submit", "configure"]
-    while time.monotonic() < end and not promises.broken:
-        acknowledge(cell, trouble, promises, trouble.random.choice(kinds))
-        promises.calm_since = float("inf")
-        trouble.strike_leader(trouble.random.uniform(0.5, 4.0))
-        promises.calm_since = time.monotonic()
-        time.sleep(REST_S)
+    while time.monotonic() < end and not checker.failures:
+        trigger_acknowledgement(cell, injector, checker, injector.random.choice(kinds))
+        checker.calm_since = float("inf")
+        injector.disrupt_leader(injector.random.uniform(0.5, 4.0))
+        checker.calm_since = time.monotonic()
+        time.sleep(CALM_AFTER_FAULT_S)
 
 
-def strike_as_workers_go(cell, trouble, promises, end, stay):
+def inject_while_losing_workers(cell, injector, checker, end, stay):
     """Repeatedly loses workers permanently while the core fails, as long as the remaining workers have enough capacity."""
-    while time.monotonic() < end and len(cell.workers) > stay + 1 and not promises.broken:
-        promises.calm_since = float("inf")
-        trouble.lose_workers(trouble.random.uniform(0.5, 5.0))
-        promises.calm_since = time.monotonic()
-        time.sleep(trouble.random.uniform(0.5, 4.0))
+    while time.monotonic() < end and len(cell.workers) > stay + 1 and not checker.failures:
+        checker.calm_since = float("inf")
+        injector.lose_workers(injector.random.uniform(0.5, 5.0))
+        checker.calm_since = time.monotonic()
+        time.sleep(injector.random.uniform(0.5, 4.0))
 
 
-def note_leaders(cell, trouble, promises, stopping):
+def record_leader_changes(cell, injector, checker, stopping):
     """Records leader changes. A new leader has to wait out the longest lease, so stalls are measured from its election."""
     known = None
-    while not stopping.wait(LEADER_LOOK_S):
+    while not stopping.wait(LEADER_POLL_S):
         process = cell.leader()
         term = TERM.search(cell.metrics(process)) if process else None
         if term and (process, term.group(1)) != known:
-            known, promises.led_since = (process, term.group(1)), time.monotonic()
-            trouble.note("process %s is leader in term %s" % known)
+            known, checker.led_since = (process, term.group(1)), time.monotonic()
+            injector.record("process %s is leader in term %s" % known)
 
 
-def acknowledge(cell, trouble, promises, kind):
+def trigger_acknowledgement(cell, injector, checker, kind):
     """Triggers one acknowledgement of the given kind."""
-    trouble.note("acknowledged: " + kind)
+    injector.record("acknowledged: " + kind)
     if kind == "leaving":
-        worker = trouble.release(8.0)
+        worker = injector.replace_worker(8.0)
         worker.leaving_acknowledged.wait(10)
-        worker.quiet_until = time.monotonic() + QUIET_S
+        worker.reports_paused_until = time.monotonic() + REPORTS_PAUSED_S
         return
     if kind == "configure":
         return  # the operator thread gets acknowledgements all the time
-    client = Client(CLIENTS, cell, promises, trouble.random.getrandbits(30))
+    client = Client(CLIENTS, cell, checker, injector.random.getrandbits(30))
     client.submit()
     if kind == "cancel" and client.names:
         client.cancel(client.names[0])
 
 
-def play(cell, promises, chosen):
+def run_soak(cell, checker, chosen):
     """Injects faults for the chosen time, then checks that all accepted work finishes."""
-    borne = (len(cell.cores) - 1) // 2
-    trouble = Trouble(cell, chosen.seed, borne)
-    clients = [Client(n, cell, promises, chosen.seed) for n in range(CLIENTS)]
+    max_unavailable = (len(cell.cores) - 1) // 2
+    injector = FaultInjector(cell, chosen.seed, max_unavailable)
+    clients = [Client(n, cell, checker, chosen.seed) for n in range(CLIENTS)]
     for client in clients:
         client.poison_share = POISON_SHARE if chosen.poison else 0.0
-    operator = Operator(cell, promises, chosen.seed)
+    operator = Operator(cell, checker, chosen.seed)
     for thread in clients + [operator]:
         thread.start()
     end, over = time.monotonic() + chosen.seconds, threading.Event()
     if chosen.gone:
-        threading.Thread(target=note_leaders, args=(cell, trouble, promises, over), daemon=True).start()
-        strike_as_workers_go(cell, trouble, promises, end, chosen.workers)
+        threading.Thread(target=record_leader_changes, args=(cell, injector, checker, over), daemon=True).start()
+        inject_while_losing_workers(cell, injector, checker, end, chosen.workers)
     elif chosen.calm:
-        strike_after_acknowledgements(cell, trouble, promises, end)
+        inject_after_acknowledgements(cell, injector, checker, end)
     else:
-        strike_in_series(trouble, promises, end)
-    for task in trouble.threads:
+        inject_overlapping_faults(injector, checker, end)
+    for task in injector.threads:
         task.join(30)
-    promises.calm_since = time.monotonic()
+    checker.calm_since = time.monotonic()
     time.sleep(CALM_S)
     for thread in clients + [operator]:
         thread.stopping.set()
         thread.join(20)
-    settle(cell, promises)
+    wait_for_completion(cell, checker)
     over.set()
-    promises.check_cancelled()
-    promises.check_starts()
-    return trouble.log
+    checker.check_cancelled()
+    checker.check_starts()
+    return injector.log
 
 
-def settle(cell, promises):
+def wait_for_completion(cell, checker):
     """Checks that all accepted work finishes and that the newest configuration is in force."""
-    open_names = [name for name in list(promises.answers) if promises.accepted(name)]
-    end = time.monotonic() + FINISH_S
-    while open_names and time.monotonic() < end and not promises.broken:
+    open_names = [name for name in list(checker.answers) if checker.accepted(name)]
+    end = time.monotonic() + COMPLETION_TIMEOUT_S
+    while open_names and time.monotonic() < end and not checker.failures:
         left = []
         for name in open_names:
             asked_at = time.monotonic()
             status, answer = cell.ask("GET", name)
             state = answer.get("state") if status == 200 else None
-            promises.saw_state(name, status, state, asked_at)
+            checker.check_state(name, status, state, asked_at)
             if state not in ("completed", "cancelled", "failed"):
                 left.append(name)
-            if state == "running" and cell.sizes[name] == LASTING:
-                promises.cancelled[name] = float("inf")
+            if state == "running" and cell.sizes[name] == LONG_RUNNING:
+                checker.cancelled[name] = float("inf")
                 cell.ask("DELETE", name)
         open_names = left
         time.sleep(0.2)
     for name in open_names[:5]:
-        promises.fail("%s was accepted and has not finished: %s" % (name, cell.ask("GET", name)))
+        checker.fail("%s was accepted and has not finished: %s" % (name, cell.ask("GET", name)))
     status, held = call(cell.operator_addresses()[0], "GET", "/walkthread/config", timeout=3)
-    if status != 200 or held["version"] < promises.versions_acked:
-        promises.fail("the configuration at the end is %s %s, expected version %d" % (status, held, promises.versions_acked))
+    if status != 200 or held["version"] < checker.versions_acked:
+        checker.fail("the configuration at the end is %s %s, expected version %d" % (status, held, checker.versions_acked))
 
 
 def main():
@@ -312,32 +313,32 @@
     options.add_argument("--gone", action="store_true")
     options.add_argument("--keep")
     chosen = options.parse_args()
-    workers = chosen.workers + (GOERS if chosen.gone else 0)
+    workers = chosen.workers + (EXTRA_WORKERS if chosen.gone else 0)
     cell = SoakCell(chosen.build, chosen.cores, chosen.edges, workers, run_seconds=0.3)
-    promises, log = Promises(cell), []
-    promises.stands_s = STANDS_S if chosen.gone else promises.stands_s
+    checker, log = GuaranteeChecker(cell), []
+    checker.stall_limit_s = STALL_LIMIT_S if chosen.gone else checker.stall_limit_s
     try:
         wait_for(lambda: cell.configure(), 30)
         wait_for(lambda: cell.ask("GET")[0] == 200, 30)
-        log = play(cell, promises, chosen)
+        log = run_soak(cell, checker, chosen)
     except AssertionError as error:
-        promises.fail("the cell did not become ready, or a step of the run timed out: %s" % error)
+        checker.fail("the cell did not become ready, or a step of the run timed out: %s" % error)
     finally:
         cell.stop()
-        if promises.broken and chosen.keep:
+        if checker.failures and chosen.keep:
             shutil.copytree(cell.folder, chosen.keep, dirs_exist_ok=True, ignore=shutil.ignore_patterns("disk-*"))
             with open(os.path.join(chosen.keep, "faults.txt"), "w") as out:
-                out.write("\n".join(log + promises.broken) + "\n")
+                out.write("\n".join(log + checker.failures) + "\n")
         shutil.rmtree(cell.folder, ignore_errors=True)
-    accepted = sum(1 for name in promises.answers if promises.accepted(name))
+    accepted = sum(1 for name in checker.answers if checker.accepted(name))
     print("seed %d: %d faults, %d of %d submissions accepted, %d of them crash workers, %d starts, %d broken" % (
-        chosen.seed, len(log), accepted, len(promises.answers), sum(1 for name in cell.poison if promises.accepted(name)),
-        len(cell.starts), len(promises.broken)))
+        chosen.seed, len(log), accepted, len(checker.answers), sum(1 for name in cell.poison if checker.accepted(name)),
+        len(cell.starts), len(checker.failures)))
     if cell.poison:
         print("  most workers crashed by one task: %d" % max(cell.crashes.values(), default=0))
-    for text in promises.broken[:10]:
+    for text in checker.failures[:10]:
         print("  " + text)
-    return 1 if promises.broken else 0
+    return 1 if checker.failures else 0
 
 
 if __name__ == "__main__":
--- a/tests/soak/trouble.py
+++ b/tests/soak/trouble.py
@@ -9,49 +9,50 @@
 
 from platform_cell import loopback
 
-WAYS_TO_GO = ["its process ends", "its machine falls silent", "it said that it leaves"]
+LOSS_KINDS = ["its process ends", "its machine falls silent", "it said that it leaves"]
 
 
-class Trouble:
-    """Injects random faults. At most `borne` replicas, which the cell tolerates, are unavailable at a time."""
+class FaultInjector:
+    """Injects random faults. At most `max_unavailable` replicas, which the cell tolerates, are unavailable at a time."""
 
-    def __init__(self, cell, seed, borne):
-        self.cell, self.random, self.borne = cell, random.Random(seed), borne
-        self.away, self.threads, self.log, self.lock = set(), [], [], threading.Lock()
-        self.lives = 0
+    def __init__(self, cell, seed, max_unavailable):
+        self.cell, self.random, self.max_unavailable = cell, random.Random(seed), max_unavailable
+        self.unavailable, self.threads, self.log, self.lock = set(), [], [], threading.Lock()
+        self.new_ids = 0
 
-    def note(self, text):
+    def record(self, text):
         self.log.append("%.2f %s" % (time.monotonic(), text))
 
-    def pick(self):
+    def choose_process(self):
         """Chooses a process for a fault; no replica if the tolerated number is unavailable already."""
         with self.lock:
-            cores = [n for n in self.cell.cores if n not in self.away]
-            may = cores if len(self.away & set(self.cell.cores)) < self.borne else []
-            choice = self.random.choice([n for n in may + self.cell.edges if n not in self.away] or [0])
-            self.away |= {choice}
+            cores = [n for n in self.cell.cores if n not in self.unavailable]
+            may = cores if len(self.unavailable & set(self.cell.cores)) < self.max_unavailable else []
+            choice = self.random.choice([n for n in may + self.cell.edges if n not in self.unavailable] or [0])
+            self.unavailable |= {choice}
         return choice
 
-    def back(self, number, settle):
-        time.sleep(settle)  # a replica counts as unavailable until it has caught up
+    def mark_available(self, number, recovery_s):
+        time.sleep(recovery_s)  # a replica counts as unavailable until it has caught up
         with self.lock:
-            self.away -= {number}
+            self.unavailable -= {number}
 
-    def strike(self):
+    def inject(self):
         kind = self.random.choice(["kill", "kill", "stop", "pause", "wipe", "torn", "cut", "cut_one_way", "slow", "reset",
-                                   "worker", "hush", "all", "mute", "mute_workers", "late_report", "release"])
+                                   "crash_worker", "leave_orders_unanswered", "restart_core", "discard_open",
+                                   "discard_open_to_workers", "late_report", "replace_worker"])
         hold = self.random.uniform(0.2, 4.0)
         task = threading.Thread(target=getattr(self, kind), args=(hold,), daemon=True)
         task.start()
         self.threads.append(task)
 
-    def with_process(self, text, hold, act, settle=3.0):
-        number = self.pick()
+    def with_process(self, text, hold, act, recovery_s=3.0):
+        number = self.choose_process()
         if number == 0:
             return
-        self.note("%s %d for %.2f s" % (text, number, hold))
+        self.record("%s %d for %.2f s" % (text, number, hold))
         act(number)
-        self.back(number, settle)
+        self.mark_available(number, recovery_s)
 
     def kill(self, hold):
         def act(number):
@@ -82,7 +83,7 @@
             shutil.rmtree(os.path.join(self.cell.folder, "disk-%d" % number), ignore_errors=True)
             time.sleep(hold)
             self.cell.start(number)
-        self.with_process("wipe the disk of", hold, act, settle=6.0)
+        self.with_process("wipe the disk of", hold, act, recovery_s=6.0)
 
     def torn(self, hold):
         """Kills a process during a write that was not durable yet: leaves a torn tail at the end of its newest log."""
@@ -99,15 +100,15 @@
 
     def links_of(self, number, ways):
         me = loopback(number)
-        others = [a for a in self.cell.everyone() if a != me]
+        others = [a for a in self.cell.all_addresses() if a != me]
         return [(me, a) for a in others if "out" in ways] + [(a, me) for a in others if "in" in ways]
 
     def cut(self, hold, ways=("in", "out")):
         def act(number):
             links = self.links_of(number, ways)
-            self.cell.faults.set_silent(links, True)
+            self.cell.faults.set_blocked(links, True)
             time.sleep(hold)
-            self.cell.faults.set_silent(links, False)
+            self.cell.faults.set_blocked(links, False)
         self.with_process("cut %s of" % "+".join(ways), hold, act)
 
     def cut_one_way(self, hold):
@@ -123,59 +124,59 @@
 
     def reset(self, _hold):
         number = self.random.choice(self.cell.cores)
-        self.note("reset links of %d" % number)
+        self.record("reset links of %d" % number)
         self.cell.faults.reset(self.links_of(number, ("in", "out")))
 
-    def mute(self, _hold):
+    def discard_open(self, _hold):
         """Open connections of one process discard all data from now on, which others notice only by timeouts."""
         me = loopback(self.random.choice(self.cell.cores + self.cell.edges))
-        self.note("mute the open links of %s" % me)
-        self.cell.faults.mute(lambda link: me in link)
+        self.record("discard all data on the open links of %s" % me)
+        self.cell.faults.discard_open(lambda link: me in link)
 
-    def mute_workers(self, _hold):
+    def discard_open_to_workers(self, _hold):
         addresses = {w.server.address for w in self.random.sample(self.cell.workers, len(self.cell.workers) // 2)}
-        self.note("mute the open connections to %d workers" % len(addresses))
-        self.cell.faults.mute(lambda link: link[1] in addresses)
+        self.record("discard all data on the open connections to %d workers" % len(addresses))
+        self.cell.faults.discard_open(lambda link: link[1] in addresses)
 
     def late_report(self, hold):
         """A worker crashes and its next incarnation reports; then a delayed report of the former incarnation arrives."""
         index = self.random.randrange(len(self.cell.workers))
         old = self.cell.workers[index]
-        self.worker_at(index)
+        self.crash_worker_at(index)
         time.sleep(hold)
-        self.note("late report of worker %s" % old.life)
+        self.record("late report of worker %s" % old.worker_id)
         old.report()
 
-    def worker(self, _hold):
-        self.worker_at(self.random.randrange(len(self.cell.workers)))
+    def crash_worker(self, _hold):
+        self.crash_worker_at(self.random.randrange(len(self.cell.workers)))
 
-    def worker_at(self, index):
+    def crash_worker_at(self, index):
         """A worker crashes and restarts at once, with probability 0.5 under the same id."""
-        self.lives += 1
+        self.new_ids += 1
         old = self.cell.workers[index]
         keeps = self.random.random() < 0.5
-        self.note("crash worker %s%s" % (old.life, ", which keeps its id" if keeps else ""))
-        self.cell.workers[index] = old.crash(old.life if keeps else "i-%08x" % (0x1000 + self.lives))
+        self.record("crash worker %s%s" % (old.worker_id, ", which keeps its id" if keeps else ""))
+        self.cell.workers[index] = old.crash(old.worker_id if keeps else "i-%08x" % (0x1000 + self.new_ids))
 
-    def release(self, hold):
+    def replace_worker(self, hold):
         """A worker is replaced: it announces that it leaves, serves for a while and ends; another one takes its place."""
-        return self.release_at(self.random.randrange(len(self.cell.workers)), hold)
+        return self.replace_worker_at(self.random.randrange(len(self.cell.workers)), hold)
 
-    def release_at(self, index, hold):
-        self.lives += 1
+    def replace_worker_at(self, index, hold):
+        self.new_ids += 1
         old = self.cell.workers[index]
-        self.note("worker %s leaves" % old.life)
-        self.cell.leavers.append(old)
-        self.cell.workers[index] = old.leave("i-%08x" % (0x1000 + self.lives), hold + 1.0)
+        self.record("worker %s leaves" % old.worker_id)
+        self.cell.leaving_workers.append(old)
+        self.cell.workers[index] = old.leave("i-%08x" % (0x1000 + self.new_ids), hold + 1.0)
         return old
 
-    def strike_leader(self, hold):
+    def disrupt_leader(self, hold):
         """Kills, pauses or isolates the current leader."""
         leader = self.cell.leader()
         if leader is None:
             return
         how = self.random.choice(["kill", "pause", "cut"])
-        self.note("%s the leader %d for %.2f s" % (how, leader, hold))
+        self.record("%s the leader %d for %.2f s" % (how, leader, hold))
         links = self.links_of(leader, ("in", "out"))
         if how == "kill":
             self.cell.kill(leader)
@@ -186,15 +187,16 @@
             time.sleep(hold)
             self.cell.processes[leader].send_signal(signal.SIGCONT)
         else:
-            self.cell.faults.set_silent(links, True)
+            self.cell.faults.set_blocked(links, True)
             time.sleep(hold)
-            self.cell.faults.set_silent(links, False)
+            self.cell.faults.set_blocked(links, False)
 
     def lose_workers(self, hold):
         """Loses workers permanently at about the time at which the leader or the whole core fails."""
-        how, count = self.random.choice(WAYS_TO_GO), self.random.randint(1, 2)
+        how, count = self.random.choice(LOSS_KINDS), self.random.randint(1, 2)
         first, apart = self.random.random() < 0.5, self.random.uniform(0.0, 0.5)
-        core = threading.Thread(target=self.random.choice([self.strike_leader, self.strike_leader, self.all_down]), args=(hold,))
+        core = threading.Thread(target=self.random.choice([self.disrupt_leader, self.disrupt_leader, self.restart_all_replicas]),
+                                args=(hold,))
         going = sorted(self.cell.workers, key=lambda w: -len(w.running))[:count]
         if how == "it said that it leaves":
             for worker in going:
@@ -204,41 +206,41 @@
             core.start()
         time.sleep(apart)
         for worker in going:
-            self.go_for_good(worker, how)
+            self.lose_permanently(worker, how)
         if first:
             core.start()
         core.join()
 
-    def go_for_good(self, worker, how):
-        self.note("worker %s is lost permanently with %d runs: %s" % (worker.life, len(worker.running), how))
+    def lose_permanently(self, worker, how):
+        self.record("worker %s is lost permanently with %d runs: %s" % (worker.worker_id, len(worker.running), how))
         self.cell.workers.remove(worker)
-        self.cell.leavers.append(worker)
+        self.cell.leaving_workers.append(worker)
         proxy = self.cell.proxies[worker.server.address]
         if how == "its machine falls silent":
-            worker.quiet_until = float("inf")
-            proxy.fall_silent()
+            worker.reports_paused_until = float("inf")
+            proxy.simulate_power_loss()
         else:
-            worker.go_down()
-            proxy.refuse()
+            worker.shut_down()
+            proxy.simulate_process_exit()
 
-    def hush(self, hold):
+    def leave_orders_unanswered(self, hold):
         worker = self.random.choice(self.cell.workers)
-        self.note("worker %s does not answer orders for %.2f s" % (worker.life, hold))
-        worker.hushed_until = time.monotonic() + hold
+        self.record("worker %s does not answer orders for %.2f s" % (worker.worker_id, hold))
+        worker.orders_unanswered_until = time.monotonic() + hold
 
-    def all(self, hold):
+    def restart_core(self, hold):
         """Kills all replicas at once and restarts them with their disks intact."""
         with self.lock:
-            if self.away & set(self.cell.cores):
+            if self.unavailable & set(self.cell.cores):
                 return
-            self.away |= set(self.cell.cores)
-        self.all_down(min(hold, 1.0))
+            self.unavailable |= set(self.cell.cores)
+        self.restart_all_replicas(min(hold, 1.0))
         time.sleep(4.0)
         with self.lock:
-            self.away -= set(self.cell.cores)
+            self.unavailable -= set(self.cell.cores)
 
-    def all_down(self, hold):
-        self.note("kill all replicas")
+    def restart_all_replicas(self, hold):
+        self.record("kill all replicas")
         for number in self.cell.cores:
             self.cell.kill(number)
         time.sleep(hold)
