--- a/tests/process/test_platform.py
+++ b/tests/process/test_platform.py
@@ -62,7 +62,7 @@
     shutil.rmtree(os.path.join(cell.folder, "disk-%d" % leader))
     cell.start(leader)
     replaced = ("walkthread_votes 1\n", "walkthread_voters 3\n", "walkthread_learners 0\n")
-    wait_for(lambda: all(figure in cell.metrics(leader) for figure in replaced), 30)
+    wait_for(lambda: all(metric in cell.metrics(leader) for metric in replaced), 30)
     other = next(n for n in cell.cores if n != leader)
     cell.kill(other)
     cell.submit(submission(50), KINDS[0])
--- a/tests/process/test_power_and_disks.py
+++ b/tests/process/test_power_and_disks.py
@@ -38,8 +38,8 @@
 
 def repaired(cell):
     """Whether all five replicas are voters and no learner is left."""
-    figures = ("\nwalkthread_votes 1\n", "\nwalkthread_voters 5\n", "\nwalkthread_learners 0\n")
-    return all(figure in cell.metrics(number) for number in cell.cores for figure in figures)
+    metrics = ("\nwalkthread_votes 1\n", "\nwalkthread_voters 5\n", "\nwalkthread_learners 0\n")
+    return all(metric in cell.metrics(number) for number in cell.cores for metric in metrics)
 
 
 def run(cell):
