--- a/include/walkthread/replication/messages.hpp
+++ b/include/walkthread/replication/messages.hpp
@@ -42,10 +42,10 @@
     log_index commit{};
     std::int64_t sent_at{}; ///< leader's monotonic clock, microseconds; echoed by the follower, compared only
                             ///< by the leader
-    std::int64_t promise{}; ///< requested lease in microseconds from receipt; the follower grants no vote to
-                            ///< others meanwhile
+    std::int64_t lease_duration{}; ///< requested lease in microseconds from receipt; the follower grants no
+                                   ///< vote to others meanwhile
     std::vector<log_entry> entries{};
-    MSGPACK_DEFINE(term, previous_index, previous_term, commit, sent_at, promise, entries)
+    MSGPACK_DEFINE(term, previous_index, previous_term, commit, sent_at, lease_duration, entries)
 };
 
 /// @brief Reply to an append_request, sent once its entries are durable.
@@ -63,9 +63,9 @@
 {
     term_id term{};
     std::int64_t sent_at{};
-    std::int64_t promise{}; ///< as in append_request
+    std::int64_t lease_duration{}; ///< as in append_request
     snapshot content{};
-    MSGPACK_DEFINE(term, sent_at, promise, content)
+    MSGPACK_DEFINE(term, sent_at, lease_duration, content)
 };
 
 /// @brief Tells the target of a leadership transfer to start an election at once (TimeoutNow in Raft).
--- a/include/walkthread/replication/newcomers.hpp
+++ b/include/walkthread/replication/newcomers.hpp
@@ -23,7 +23,7 @@
     std::size_t wanted_voters = 3; ///< with fewer voters, a joining replica is promoted once caught up
     duration live_window = milliseconds(400); ///< a member with a reply within this time is live; four
                                               ///< heartbeats
-    duration forgotten = seconds(10);         ///< a learner without replies for this long is removed; above
+    duration learner_timeout = seconds(10);   ///< a learner without replies for this long is removed; above
                                               ///< the few seconds that loading a snapshot takes on a small
                                               ///< host under load
 };
@@ -41,12 +41,12 @@
 struct newcomer_decision
 {
     std::optional<learner> add;
-    std::optional<replica_id> remove;  ///< an earlier learner of the same host, whose disk is lost
-    std::optional<replica_id> present; ///< live replica of the same host: the request is outdated
+    std::optional<replica_id> remove;       ///< an earlier learner of the same host, whose disk is lost
+    std::optional<replica_id> live_replica; ///< live replica of the same host: the request is outdated
 };
 
 /// @brief Decides on a join request. Complexity: linear in the members.
-[[nodiscard]] newcomer_decision judge_newcomer(const membership& members, const replica_id& asks,
+[[nodiscard]] newcomer_decision judge_newcomer(const membership& members, const replica_id& requester,
                                                const newcomer_settings& settings, const newcomer_hooks& hooks,
                                                monotonic_time now);
 
--- a/include/walkthread/replication/replica.hpp
+++ b/include/walkthread/replication/replica.hpp
@@ -39,10 +39,10 @@
 {
     term_id term{};
     replica_id vote{};
-    std::int64_t promise{}; ///< microseconds: upper bound of the leases granted to a leader
-    replica_id leader{};    ///< the last leader that was granted a lease; its own id if it led
+    std::int64_t lease_duration{}; ///< microseconds: upper bound of the leases granted to a leader
+    replica_id leader{};           ///< the last leader that was granted a lease; its own id if it led
     friend bool operator==(const hard_state&, const hard_state&) = default;
-    MSGPACK_DEFINE(term, vote, promise, leader)
+    MSGPACK_DEFINE(term, vote, lease_duration, leader)
 };
 
 /// @brief Timeouts and limits of a replica.
@@ -118,7 +118,7 @@
     /// @brief Adds a non-voting replica; for an existing learner, updates `promote` and `replaces`.
     /// @param new_learner the learner; with `replaces` set, that voter is removed after the promotion
     /// @return success, or replication_code::not_leader, change_pending
-    [[nodiscard]] result<done, replication_error> add_learner(learner newcomer, monotonic_time now);
+    [[nodiscard]] result<done, replication_error> add_learner(learner new_learner, monotonic_time now);
     /// @brief Removes a member.
     /// @return success, or replication_code::not_leader, change_pending, unknown_member
     [[nodiscard]] result<done, replication_error> remove_member(const replica_id& member, monotonic_time now);
@@ -126,9 +126,9 @@
     void hand_over(monotonic_time now);
     /// @brief Sets whether this replica refrains from campaigning, because its process is shutting down or
     /// its disk rejects writes. It still votes.
-    void decline_leadership(bool declines = true)
+    void decline_leadership(bool declined = true)
     {
-        m_declines = declines;
+        m_declines = declined;
     }
 
     /// @brief Returns the pending work. The owner makes it durable, sends, applies, then calls `synced`.
@@ -245,7 +245,7 @@
     void commit_to(log_index index);
     void set_election_timer(duration wait, monotonic_time now);
     [[nodiscard]] bool log_is_current(log_index last_index, term_id last_term) const;
-    [[nodiscard]] bool hears_leader(monotonic_time now) const;
+    [[nodiscard]] bool has_live_leader(monotonic_time now) const;
     [[nodiscard]] std::vector<monotonic_time> voters_contact(monotonic_time now) const;
     [[nodiscard]] monotonic_time quorum_contact(monotonic_time now) const;
     [[nodiscard]] monotonic_time lease_end(monotonic_time now) const;
@@ -266,7 +266,7 @@
     log_index m_commit{};
     log_index m_applied{};
     log_index m_synced{};
-    log_index m_taken{};
+    log_index m_output_index{};
     log_index m_snapshot_index{};
     std::string m_snapshot_data;
     term_id m_snapshot_term{};
@@ -282,11 +282,11 @@
     struct asked_promise
     {
         monotonic_time since{};
-        duration promise{};
+        duration lease_duration{};
     };
-    std::vector<asked_promise> m_asked; ///< of this term, oldest first; durations only increase, at most
-                                        ///< four entries
-    term_id m_promise_term{};           ///< follower: term of the leader that was granted the lease
+    std::vector<asked_promise> m_lease_requests; ///< of this term, oldest first; durations only increase, at
+                                                 ///< most four entries
+    term_id m_promise_term{}; ///< follower: term of the leader that was granted the lease
     monotonic_time m_election_at{};
     monotonic_time m_leader_since{};
     bool m_transferring = false;
--- a/include/walkthread/replication/replicated_group.hpp
+++ b/include/walkthread/replication/replicated_group.hpp
@@ -77,7 +77,7 @@
     [[nodiscard]] replica_start live_part() const;
 
   private:
-    struct waiting
+    struct pending_proposal
     {
         term_id term{};
         result_handler handler;
@@ -90,7 +90,7 @@
     state_hooks m_hooks;
     log_index m_applied{};
     log_index m_stored_snapshot{};
-    std::map<log_index, waiting> m_waiting;
+    std::map<log_index, pending_proposal> m_pending_proposals;
 };
 
 } // namespace walkthread
--- a/include/walkthread/state/claims.hpp
+++ b/include/walkthread/state/claims.hpp
@@ -69,10 +69,10 @@
 {
   public:
     /// @brief How far a key's creation time may lie ahead of the leader's wall time, in milliseconds.
-    static constexpr wall_ms max_ahead = 60'000;
+    static constexpr wall_ms max_clock_skew = 60'000;
     /// @brief Milliseconds after which a held claim is reported as unknown; its holder may have crashed, or
     /// may still settle it.
-    static constexpr wall_ms longest_in_progress = 60'000;
+    static constexpr wall_ms max_claim_age = 60'000;
 
     /// @brief Grants a key to one attempt. Complexity: logarithmic in the claims, amortised.
     /// @return code 0 and phase held if granted; code 0 and phase completed with the stored response; or
@@ -105,10 +105,10 @@
 
     std::map<claim_key, record> m_claims;
     std::multimap<wall_ms, claim_key> m_by_time;
-    wall_ms m_floor = 0; ///< unknown keys with a creation time up to this one are refused as expired
+    wall_ms m_expiry_floor = 0; ///< unknown keys with a creation time up to this one are refused as expired
 
   public:
-    MSGPACK_DEFINE(m_claims, m_by_time, m_floor)
+    MSGPACK_DEFINE(m_claims, m_by_time, m_expiry_floor)
 };
 
 } // namespace walkthread
--- a/include/walkthread/state/hall.hpp
+++ b/include/walkthread/state/hall.hpp
@@ -99,7 +99,7 @@
     MSGPACK_DEFINE(spec, tasks, pending, on_hosts, ended, cancelled, outcome, failed_on, failures,
                    first_start)
 
-    [[nodiscard]] bool over() const
+    [[nodiscard]] bool finished() const
     {
         return ended == tasks.size();
     }
@@ -155,8 +155,8 @@
     std::uint16_t port{};
     resources size{};
     epoch_id previous{};          ///< the worker's last epoch; 0 if unknown
-    std::vector<run_id> untold{}; ///< runs placed there whose start order was never sent: they never began
-    MSGPACK_DEFINE(worker, rack, address, port, size, previous, untold)
+    std::vector<run_id> unsent{}; ///< runs placed there whose start order was never sent: they never began
+    MSGPACK_DEFINE(worker, rack, address, port, size, previous, unsent)
 };
 
 /// @brief A worker and one of its lease epochs.
@@ -171,8 +171,8 @@
 struct lose_workers
 {
     std::vector<worker_epoch> workers{};
-    std::vector<run_id> untold{}; ///< runs placed there whose start order was never sent: they never began
-    MSGPACK_DEFINE(workers, untold)
+    std::vector<run_id> unsent{}; ///< runs placed there whose start order was never sent: they never began
+    MSGPACK_DEFINE(workers, unsent)
 };
 
 /// @brief Starts or ends draining of workers.
@@ -377,7 +377,7 @@
     hall_result run(wall_ms at, const claim_request& command);
     hall_result run(wall_ms at, const settle_claim& command);
 
-    [[nodiscard]] bool may_place(const placement& p, const resources& already) const;
+    [[nodiscard]] bool may_place(const placement& p, const resources& reserved_in_batch) const;
     [[nodiscard]] bool may_place_all(const std::vector<placement>& all, std::size_t first,
                                      std::size_t last) const;
     void reserve(wall_ms at, const placement& p);
@@ -386,14 +386,14 @@
     void end_well(wall_ms at, hall_job& job, std::uint32_t index);
     void end_stopped(wall_ms at, hall_job& job, std::uint32_t index, bool checkpointed);
     void end_failed(wall_ms at, hall_job& job, std::uint32_t index);
-    void end_lost(wall_ms at, hall_job& job, std::uint32_t index, bool untold);
+    void end_lost(wall_ms at, hall_job& job, std::uint32_t index, bool unsent);
     void order_stop(wall_ms at, hall_job& job, std::uint32_t index, stop_reason reason);
     void stop_gang(wall_ms at, hall_job& job);
     void cancel(wall_ms at, hall_job& job, job_outcome outcome);
     void quarantine(wall_ms at, worker_record& worker);
     void set_phase(wall_ms at, worker_record& worker, worker_phase phase);
-    void release_all(wall_ms at, worker_record& worker, const std::vector<run_id>& untold);
-    void touch(const hall_job& job);
+    void release_all(wall_ms at, worker_record& worker, const std::vector<run_id>& unsent);
+    void record_change(const hall_job& job);
     task_record* find_run(const run_id& run, const worker_epoch& from, hall_job*& job);
 
     hall_id m_hall{};
--- a/include/walkthread/state/root.hpp
+++ b/include/walkthread/state/root.hpp
@@ -122,9 +122,9 @@
 {
     job_spec spec{};
     bool cancelled{};
-    std::uint8_t outcome{};          ///< worst outcome reported by a hall
-    std::vector<hall_id> ended_in{}; ///< halls that reported its end
-    MSGPACK_DEFINE(spec, cancelled, outcome, ended_in)
+    std::uint8_t outcome{};             ///< worst outcome reported by a hall
+    std::vector<hall_id> ended_halls{}; ///< halls that reported its end
+    MSGPACK_DEFINE(spec, cancelled, outcome, ended_halls)
 };
 
 /// @brief State of a team in root.
@@ -175,7 +175,7 @@
     bool load(std::string_view bytes);
 
   private:
-    struct remembered
+    struct request_record
     {
         std::uint64_t digest{};
         wall_ms at{};
@@ -204,7 +204,7 @@
     std::map<name_key, configuration> m_configurations;
     std::map<job_id, root_job> m_jobs;
     std::map<job_id, root_job> m_ended;
-    std::map<name_key, remembered> m_requests;
+    std::map<name_key, request_record> m_requests;
     std::deque<name_key> m_request_order; ///< oldest first
     std::uint64_t m_next_job = 1;
     std::uint32_t m_next_team = 1;
--- a/include/walkthread/storage/data_folder.hpp
+++ b/include/walkthread/storage/data_folder.hpp
@@ -82,7 +82,7 @@
     /// @param new_identity the identity for an empty folder; its node must match that of an existing folder
     /// @return the folder, or cannot_open, damaged, foreign_folder
     static result<std::unique_ptr<data_folder>, storage_error> open(const std::string& path,
-                                                                    const folder_identity& fresh);
+                                                                    const folder_identity& new_identity);
     ~data_folder();
     data_folder(const data_folder&) = delete;
     data_folder& operator=(const data_folder&) = delete;
@@ -132,8 +132,8 @@
 
     std::string m_path;
     folder_identity m_identity;
-    std::map<group_id, replica_start> m_found;
-    int m_log = -1;
+    std::map<group_id, replica_start> m_recovered;
+    int m_log_fd = -1;
     std::uint64_t m_log_number = 0;
     std::uint64_t m_log_bytes = 0;
     std::uint64_t m_rewrite_at = 0;
--- a/src/fabric/core_members.cpp
+++ b/src/fabric/core_members.cpp
@@ -220,12 +220,12 @@
     const newcomer_decision decided =
         judge_newcomer(core.members(), request.self, m_times.newcomers, make_newcomer_hooks(), now);
     const std::string address = peer_address_of(request.self, detail::port_of(m_settings.peer_address));
-    if (decided.present)
+    if (decided.live_replica)
     {
         note("join_not_taken", {},
              {{"address", address},
               {"incarnation", request.self.incarnation.value()},
-              {"present", decided.present->incarnation.value()}});
+              {"present", decided.live_replica->incarnation.value()}});
     }
     if (decided.remove)
     {
--- a/src/node/hall_renewals.cpp
+++ b/src/node/hall_renewals.cpp
@@ -66,11 +66,11 @@
     m_parked.erase(call.worker);
     const std::int64_t lease = m_core.config().timing.worker_lease.count();
     register_worker command = call.about;
-    command.untold = withdraw_untold(call.worker);
+    command.unsent = withdraw_untold(call.worker);
     propose(command,
             [this, handler, lease, command](bool committed, const hall_result& answer)
             {
-                end_withdrawal(command.untold);
+                end_withdrawal(command.unsent);
                 const monotonic_time now = monotonic_now();
                 if (!committed || !m_leading || !m_core.leads(group_of(m_hall), now))
                 {
--- a/src/node/hall_root.cpp
+++ b/src/node/hall_root.cpp
@@ -31,7 +31,7 @@
     const auto& wanted = m_root.state().jobs();
     for (const auto& [id, job] : wanted)
     {
-        const auto& ended = job.ended_in;
+        const auto& ended = job.ended_halls;
         const bool over_here = std::find(ended.begin(), ended.end(), m_hall) != ended.end();
         if (job.spec.tasks_in(m_hall) == 0 || over_here || m_state.jobs().contains(id))
         {
@@ -55,7 +55,7 @@
     {
         const auto found = wanted.find(id);
         const bool withdrawn = found == wanted.end() || found->second.cancelled;
-        if (job.over())
+        if (job.finished())
         {
             found == wanted.end() ? forget.jobs.push_back(id) : to_report.push_back(id);
         }
@@ -98,7 +98,7 @@
     for (const job_id id : ended)
     {
         const auto found = m_state.jobs().find(id);
-        if (found != m_state.jobs().end() && found->second.over())
+        if (found != m_state.jobs().end() && found->second.finished())
         {
             finish.ends.push_back({id, m_hall, found->second.outcome});
         }
--- a/src/node/hall_service.cpp
+++ b/src/node/hall_service.cpp
@@ -237,8 +237,8 @@
         if (found != m_state.workers().end())
         {
             lost.workers.push_back({id, found->second.epoch});
-            const std::vector<run_id> untold = withdraw_untold(id);
-            lost.untold.insert(lost.untold.end(), untold.begin(), untold.end());
+            const std::vector<run_id> unsent = withdraw_untold(id);
+            lost.unsent.insert(lost.unsent.end(), unsent.begin(), unsent.end());
         }
     }
     if (lost.workers.empty())
@@ -249,7 +249,7 @@
     propose(lost,
             [this, lost](bool committed, const hall_result&)
             {
-                end_withdrawal(lost.untold);
+                end_withdrawal(lost.unsent);
                 for (const worker_epoch& gone : lost.workers)
                 {
                     if (committed && m_leading)
@@ -295,8 +295,8 @@
     {
         const task_record& task = m_state.jobs().at(id.job).tasks[id.index];
         const run_id run{id, task.run};
-        const bool untold = m_leading->placed.contains(run) && !m_leading->start_sent.contains(run);
-        if (task.state() == task_phase::placed && untold)
+        const bool unsent = m_leading->placed.contains(run) && !m_leading->start_sent.contains(run);
+        if (task.state() == task_phase::placed && unsent)
         {
             out.push_back(run);
             m_leading->withdrawn.insert(run);
--- a/src/replication/newcomers.cpp
+++ b/src/replication/newcomers.cpp
@@ -5,50 +5,50 @@
 
 namespace
 {
-bool is_present(const replica_id& member, const newcomer_settings& settings, const newcomer_hooks& hooks,
-                monotonic_time now)
+bool is_live(const replica_id& member, const newcomer_settings& settings, const newcomer_hooks& hooks,
+             monotonic_time now)
 {
     const auto heard = hooks.last_heard(member);
     return heard && now - *heard < settings.live_window;
 }
 } // namespace
 
-newcomer_decision judge_newcomer(const membership& members, const replica_id& asks,
+newcomer_decision judge_newcomer(const membership& members, const replica_id& requester,
                                  const newcomer_settings& settings, const newcomer_hooks& hooks,
                                  monotonic_time now)
 {
     newcomer_decision out;
-    if (members.is_member(asks))
+    if (members.is_member(requester))
     {
         return out;
     }
-    learner newcomer;
-    newcomer.id = asks;
-    newcomer.promote = members.voters.size() < settings.wanted_voters;
+    learner new_learner;
+    new_learner.id = requester;
+    new_learner.promote = members.voters.size() < settings.wanted_voters;
     for (const replica_id& voter : members.voters)
     {
-        if (!hooks.same_host(voter, asks))
+        if (!hooks.same_host(voter, requester))
         {
             continue;
         }
-        if (is_present(voter, settings, hooks, now))
+        if (is_live(voter, settings, hooks, now))
         {
-            out.present = voter;
+            out.live_replica = voter;
             return out;
         }
-        newcomer.promote = true; // that voter's disk is lost
-        newcomer.replaces = voter;
+        new_learner.promote = true; // that voter's disk is lost
+        new_learner.replaces = voter;
     }
     for (const learner& item : members.learners)
     {
-        if (!hooks.same_host(item.id, asks))
+        if (!hooks.same_host(item.id, requester))
         {
             continue;
         }
-        is_present(item.id, settings, hooks, now) ? out.present = item.id : out.remove = item.id;
+        is_live(item.id, settings, hooks, now) ? out.live_replica = item.id : out.remove = item.id;
         return out; // the replica repeats its request after the earlier one is removed
     }
-    out.add = newcomer;
+    out.add = new_learner;
     return out;
 }
 
@@ -58,7 +58,7 @@
     for (const learner& item : members.learners)
     {
         const auto heard = hooks.last_heard(item.id);
-        if (heard && now - *heard > settings.forgotten && !members.is_voter(item.id))
+        if (heard && now - *heard > settings.learner_timeout && !members.is_voter(item.id))
         {
             return item.id;
         }
--- a/src/replication/replica.cpp
+++ b/src/replication/replica.cpp
@@ -30,10 +30,11 @@
         m_log.append(std::move(entry));
     }
     m_synced = m_log.last_index();
-    m_taken = m_synced;
+    m_output_index = m_synced;
     recompute_members();
     // A leader may still rely on a lease that was granted before the restart.
-    m_promise = std::clamp(duration{m_state.promise}, m_settings.election_timeout, m_settings.election_most);
+    m_promise =
+        std::clamp(duration{m_state.lease_duration}, m_settings.election_timeout, m_settings.election_most);
     // A restarted leader no longer holds its lease, and while it held it nobody else could obtain one, so it
     // can campaign without waiting.
     const bool led_last = m_state.leader == m_self;
@@ -92,19 +93,19 @@
     return m_log.last_index();
 }
 
-result<done, replication_error> replica::add_learner(learner newcomer, monotonic_time now)
+result<done, replication_error> replica::add_learner(learner new_learner, monotonic_time now)
 {
     if (m_role != replica_role::leader || m_transferring)
     {
         return replication_error{replication_code::not_leader, "This replica does not lead the group."};
     }
     const auto known = std::find_if(m_members.learners.begin(), m_members.learners.end(),
-                                    [&newcomer](const learner& item)
+                                    [&new_learner](const learner& item)
                                     {
-                                        return item.id == newcomer.id;
+                                        return item.id == new_learner.id;
                                     });
     const bool learns = known != m_members.learners.end();
-    if (learns ? *known == newcomer : m_members.is_voter(newcomer.id))
+    if (learns ? *known == new_learner : m_members.is_voter(new_learner.id))
     {
         return done{};
     }
@@ -114,11 +115,11 @@
     }
     membership next = m_members;
     std::erase_if(next.learners,
-                  [&newcomer](const learner& item)
+                  [&new_learner](const learner& item)
                   {
-                      return item.id == newcomer.id;
+                      return item.id == new_learner.id;
                   });
-    next.learners.push_back(newcomer);
+    next.learners.push_back(new_learner);
     change_members(next, now);
     return done{};
 }
@@ -189,7 +190,7 @@
     {
         send_to_all(false, now);
     }
-    m_taken = m_log.last_index();
+    m_output_index = m_log.last_index();
     return std::exchange(m_output, replica_output{});
 }
 
@@ -206,19 +207,19 @@
         return out;
     }
     send_to_all(false, now);
-    const auto may_go = [](const replica_envelope& envelope)
+    const auto is_append_request = [](const replica_envelope& envelope)
     {
         return std::holds_alternative<append_request>(envelope.message);
     };
     std::copy_if(m_output.messages.begin(), m_output.messages.end(), std::back_inserter(out.messages),
-                 may_go);
-    std::erase_if(m_output.messages, may_go);
+                 is_append_request);
+    std::erase_if(m_output.messages, is_append_request);
     return out;
 }
 
 void replica::synced(monotonic_time now)
 {
-    m_synced = std::min(m_taken, m_log.last_index());
+    m_synced = std::min(m_output_index, m_log.last_index());
     advance_commit(now);
 }
 
--- a/src/replication/replica_election.cpp
+++ b/src/replication/replica_election.cpp
@@ -52,7 +52,7 @@
 {
     // A leader that campaigns has lost leadership, so the lease granted to it is no reason to refuse.
     const bool was_leader = m_state.leader == from;
-    const bool refused_by_leader = hears_leader(now) && !m.transfer && !was_leader;
+    const bool refused_by_leader = has_live_leader(now) && !m.transfer && !was_leader;
     if (m.pre)
     {
         const bool granted =
@@ -139,12 +139,12 @@
         m_promise = wanted;
         m_promise_term = term;
     }
-    const bool changed = m_promise.count() > m_state.promise || m_state.leader != leader;
+    const bool changed = m_promise.count() > m_state.lease_duration || m_state.leader != leader;
     become_follower(term, leader, now);
     m_last_leader_contact = now;
     if (later || changed)
     {
-        m_state.promise = m_promise.count();
+        m_state.lease_duration = m_promise.count();
         m_state.leader = leader;
         m_output.state = m_state;
     }
@@ -155,23 +155,23 @@
 void replica::adapt_promise(monotonic_time now)
 {
     const duration silence = now - std::max(quorum_contact(now), m_leader_since);
-    const auto slow = std::chrono::duration_cast<duration>(m_promise * slow_part);
-    if (silence < slow || m_promise >= m_settings.election_most)
+    const auto extension_threshold = std::chrono::duration_cast<duration>(m_promise * slow_part);
+    if (silence < extension_threshold || m_promise >= m_settings.election_most)
     {
         return;
     }
-    const auto longer = std::chrono::duration_cast<duration>(m_promise * longer_factor);
-    m_promise = std::min(longer, m_settings.election_most);
-    m_asked.push_back({now, m_promise});
+    const auto extended = std::chrono::duration_cast<duration>(m_promise * longer_factor);
+    m_promise = std::min(extended, m_settings.election_most);
+    m_lease_requests.push_back({now, m_promise});
 }
 
 // The lease duration that a message sent by this leader at the given time requested.
 duration replica::promise_asked_at(monotonic_time sent) const
 {
-    duration asked = m_asked.front().promise;
-    for (const asked_promise& item : m_asked)
+    duration asked = m_lease_requests.front().lease_duration;
+    for (const asked_promise& item : m_lease_requests)
     {
-        asked = item.since < sent ? item.promise : asked;
+        asked = item.since < sent ? item.lease_duration : asked;
     }
     return asked;
 }
@@ -182,7 +182,7 @@
     m_leader = m_self;
     m_leader_since = now;
     m_promise = m_settings.election_timeout;
-    m_asked = {{now, m_promise}};
+    m_lease_requests = {{now, m_promise}};
     m_promise_term = m_state.term;
     m_state.leader = m_self;
     m_output.state = m_state;
@@ -196,10 +196,10 @@
 void replica::step_down_if_alone(monotonic_time now)
 {
     const monotonic_time contact = std::max(quorum_contact(now), m_leader_since);
-    const bool alone = now - contact > m_promise;
+    const bool quorum_lost = now - contact > m_promise;
     const bool order_ran_out = m_transferring && now - m_transfer_started > m_promise;
     const bool removed = !m_members.is_voter(m_self) && m_members_index <= m_commit;
-    if (alone || order_ran_out || removed)
+    if (quorum_lost || order_ran_out || removed)
     {
         become_follower(m_state.term, {}, now);
     }
@@ -233,7 +233,7 @@
     return last_term > own || (last_term == own && last_index >= m_log.last_index());
 }
 
-bool replica::hears_leader(monotonic_time now) const
+bool replica::has_live_leader(monotonic_time now) const
 {
     return m_role == replica_role::leader ? quorum_contact(now) + m_promise > now
                                           : m_last_leader_contact + m_promise > now;
@@ -274,8 +274,8 @@
     std::vector<monotonic_time> ends;
     for (const monotonic_time contact : voters_contact(now))
     {
-        const duration promised = promise_asked_at(contact);
-        ends.push_back(contact + std::chrono::duration_cast<duration>(promised * safe_part));
+        const duration requested_duration = promise_asked_at(contact);
+        ends.push_back(contact + std::chrono::duration_cast<duration>(requested_duration * safe_part));
     }
     if (ends.empty())
     {
--- a/src/replication/replica_log.cpp
+++ b/src/replication/replica_log.cpp
@@ -47,7 +47,7 @@
         send(from, append_reply{m_state.term, false, m_log.last_index(), m.sent_at});
         return;
     }
-    heed_leader(m.term, from, m.promise, now);
+    heed_leader(m.term, from, m.lease_duration, now);
     if (m.previous_index < m_commit)
     {
         send(from, append_reply{m_state.term, true, m_commit, m.sent_at});
@@ -77,7 +77,7 @@
             m_log.truncate_from(entry.index);
             m_synced = std::min(m_synced, m_log.last_index());
             // The replacing entries have not been output yet.
-            m_taken = std::min(m_taken, m_log.last_index());
+            m_output_index = std::min(m_output_index, m_log.last_index());
             std::erase_if(m_output.append,
                           [&entry](const log_entry& e)
                           {
@@ -147,7 +147,7 @@
         send(from, append_reply{m_state.term, false, m_log.last_index(), m.sent_at});
         return;
     }
-    heed_leader(m.term, from, m.promise, now);
+    heed_leader(m.term, from, m.lease_duration, now);
     if (m_log.term_at(m.content.index) == m.content.term)
     {
         // The log already contains the snapshot's entries, and later ones may have been acknowledged: keep
@@ -195,7 +195,7 @@
     request.previous_term = *m_log.term_at(previous);
     request.commit = m_commit;
     request.sent_at = to_stamp(now);
-    request.promise = m_promise.count();
+    request.lease_duration = m_promise.count();
     request.entries = m_log.slice(p.next, m_settings.append_bytes);
     p.in_flight = !request.entries.empty();
     p.in_flight_to = log_index{previous.value() + request.entries.size()};
@@ -222,7 +222,7 @@
     request.previous_term = *known;
     request.commit = std::min(m_commit, p.match);
     request.sent_at = to_stamp(now);
-    request.promise = m_promise.count();
+    request.lease_duration = m_promise.count();
     p.last_sent = now;
     send(to, std::move(request));
 }
@@ -232,9 +232,10 @@
     for (auto& [id, p] : m_progress)
     {
         const bool due = heartbeat && now - p.last_sent >= m_settings.heartbeat;
-        const bool on_the_way = p.in_flight && p.in_flight_bytes > cheap_to_repeat &&
-                                now - p.in_flight_since < heartbeats_for_entries * m_settings.heartbeat;
-        if (due && on_the_way)
+        const bool large_batch_in_flight =
+            p.in_flight && p.in_flight_bytes > cheap_to_repeat &&
+            now - p.in_flight_since < heartbeats_for_entries * m_settings.heartbeat;
+        if (due && large_batch_in_flight)
         {
             send_heartbeat(id, p, now);
             continue;
@@ -272,11 +273,11 @@
         matches.push_back(voter == m_self ? m_synced : known ? found->second.match : log_index{});
     }
     std::sort(matches.begin(), matches.end(), std::greater<>());
-    const log_index agreed = matches[m_members.quorum() - 1];
-    const bool own_term = m_log.term_at(agreed) == m_state.term;
-    if (agreed > m_commit && own_term)
+    const log_index quorum_match = matches[m_members.quorum() - 1];
+    const bool own_term = m_log.term_at(quorum_match) == m_state.term;
+    if (quorum_match > m_commit && own_term)
     {
-        commit_to(agreed);
+        commit_to(quorum_match);
         refresh_progress(now);
     }
 }
--- a/src/replication/replicated_group.cpp
+++ b/src/replication/replicated_group.cpp
@@ -20,7 +20,7 @@
         handler(std::nullopt);
         return;
     }
-    m_waiting[value_of(index)] = waiting{term, std::move(handler)};
+    m_pending_proposals[value_of(index)] = pending_proposal{term, std::move(handler)};
 }
 
 std::size_t replicated_group::apply(const replica_output& output)
@@ -50,9 +50,9 @@
             answer = m_hooks.apply(value_of(body).at, value_of(body).command);
         }
     }
-    while (!m_waiting.empty() && m_waiting.begin()->first <= entry.index)
+    while (!m_pending_proposals.empty() && m_pending_proposals.begin()->first <= entry.index)
     {
-        auto node = m_waiting.extract(m_waiting.begin());
+        auto node = m_pending_proposals.extract(m_pending_proposals.begin());
         const bool own = node.key() == entry.index && node.mapped().term == entry.term;
         node.mapped().handler(own ? answer : std::nullopt);
     }
--- a/src/state/claims.cpp
+++ b/src/state/claims.cpp
@@ -20,11 +20,11 @@
     const auto found = m_claims.find(key);
     if (found == m_claims.end())
     {
-        if (request.key_time <= m_floor || request.key_time < at - request.window)
+        if (request.key_time <= m_expiry_floor || request.key_time < at - request.window)
         {
             return refuse(state_code::key_expired);
         }
-        if (request.key_time > at + max_ahead)
+        if (request.key_time > at + max_clock_skew)
         {
             return refuse(state_code::key_from_future);
         }
@@ -59,8 +59,8 @@
     {
         return {};
     }
-    const bool given_up = at - claim.claimed > longest_in_progress;
-    return refuse(given_up ? state_code::outcome_unknown : state_code::claim_held);
+    const bool timed_out = at - claim.claimed > max_claim_age;
+    return refuse(timed_out ? state_code::outcome_unknown : state_code::claim_held);
 }
 
 claim_result claim_table::settle(const settle_claim& request)
@@ -68,7 +68,7 @@
     const claim_key key{request.organisation, request.key};
     const auto found = m_claims.find(key);
     const bool release = request.phase == static_cast<std::uint8_t>(claim_phase::released);
-    if (found == m_claims.end() && release && request.key_time > m_floor)
+    if (found == m_claims.end() && release && request.key_time > m_expiry_floor)
     {
         m_claims[key] = record{request.digest, request.attempt, request.key_time, request.phase, 0, {}, 0};
         m_by_time.emplace(request.key_time, key);
@@ -97,7 +97,7 @@
 {
     while (!m_by_time.empty() && m_by_time.begin()->first < key_time)
     {
-        m_floor = std::max(m_floor, m_by_time.begin()->first);
+        m_expiry_floor = std::max(m_expiry_floor, m_by_time.begin()->first);
         m_claims.erase(m_by_time.begin()->second);
         m_by_time.erase(m_by_time.begin());
     }
--- a/src/state/hall.cpp
+++ b/src/state/hall.cpp
@@ -55,7 +55,7 @@
     }
     if (known)
     {
-        release_all(at, worker, command.untold);
+        release_all(at, worker, command.unsent);
         if (worker.state() != worker_phase::lost)
         {
             m_capacity -= worker.size;
@@ -81,16 +81,16 @@
 
 hall_result hall_state::run(wall_ms at, const lose_workers& command)
 {
-    for (const worker_epoch& gone : command.workers)
+    for (const worker_epoch& expired : command.workers)
     {
-        const auto found = m_workers.find(gone.worker);
-        const bool current = found != m_workers.end() && found->second.epoch == gone.epoch;
+        const auto found = m_workers.find(expired.worker);
+        const bool current = found != m_workers.end() && found->second.epoch == expired.epoch;
         if (!current || found->second.state() == worker_phase::lost)
         {
             continue;
         }
         worker_record& worker = found->second;
-        release_all(at, worker, command.untold);
+        release_all(at, worker, command.unsent);
         m_capacity -= worker.size;
         set_phase(at, worker, worker_phase::lost);
     }
@@ -152,7 +152,7 @@
         {
             job->second.failed_on.erase(worker.id);
             job->second.failures = 0; // the failures are attributed to the host
-            touch(job->second);
+            record_change(job->second);
         }
     }
     worker.failed_jobs.clear();
@@ -160,14 +160,14 @@
     set_phase(at, worker, worker_phase::quarantined);
 }
 
-void hall_state::release_all(wall_ms at, worker_record& worker, const std::vector<run_id>& untold)
+void hall_state::release_all(wall_ms at, worker_record& worker, const std::vector<run_id>& unsent)
 {
     const std::vector<task_id> tasks = worker.tasks;
     for (const task_id& task : tasks)
     {
         hall_job& job = m_jobs.at(task.job);
         const run_id run{task, job.tasks[task.index].run};
-        end_lost(at, job, task.index, std::find(untold.begin(), untold.end(), run) != untold.end());
+        end_lost(at, job, task.index, std::find(unsent.begin(), unsent.end(), run) != unsent.end());
     }
 }
 
@@ -197,7 +197,7 @@
         {
             task.since = at;
         }
-        touch(job);
+        record_change(job);
     }
     return {};
 }
@@ -207,7 +207,7 @@
     for (const job_id id : command.jobs)
     {
         const auto found = m_jobs.find(id);
-        if (found != m_jobs.end() && !found->second.over())
+        if (found != m_jobs.end() && !found->second.finished())
         {
             cancel(at, found->second, job_outcome::cancelled);
         }
@@ -221,7 +221,7 @@
     for (const job_id id : command.jobs)
     {
         const auto found = m_jobs.find(id);
-        if (found != m_jobs.end() && found->second.over())
+        if (found != m_jobs.end() && found->second.finished())
         {
             m_jobs.erase(found);
         }
@@ -248,13 +248,13 @@
             order_stop(at, job, i, stop_reason::cancelled);
         }
     }
-    touch(job);
+    record_change(job);
 }
 
-void hall_state::touch(const hall_job& job)
+void hall_state::record_change(const hall_job& job)
 {
     m_changes.jobs.push_back(job.spec.id);
-    if (job.over())
+    if (job.finished())
     {
         m_changes.ended.push_back(job.spec.id);
     }
--- a/src/state/hall_runs.cpp
+++ b/src/state/hall_runs.cpp
@@ -24,8 +24,9 @@
         {
             ++last;
         }
-        const bool whole = !gang || (job->second.on_hosts == 0 && last - first == job->second.pending);
-        if (whole && may_place_all(all, first, last))
+        const bool complete_gang =
+            !gang || (job->second.on_hosts == 0 && last - first == job->second.pending);
+        if (complete_gang && may_place_all(all, first, last))
         {
             std::for_each(all.begin() + static_cast<std::ptrdiff_t>(first),
                           all.begin() + static_cast<std::ptrdiff_t>(last),
@@ -49,8 +50,8 @@
     std::map<worker_id, resources> taken;
     for (std::size_t i = first; i < last; ++i)
     {
-        const resources already = last - first > 1 ? taken[all[i].worker] : resources{};
-        if (!may_place(all[i], already))
+        const resources reserved_in_batch = last - first > 1 ? taken[all[i].worker] : resources{};
+        if (!may_place(all[i], reserved_in_batch))
         {
             return false;
         }
@@ -62,7 +63,7 @@
     return true;
 }
 
-bool hall_state::may_place(const placement& p, const resources& already) const
+bool hall_state::may_place(const placement& p, const resources& reserved_in_batch) const
 {
     const auto worker = m_workers.find(p.worker);
     const auto job = m_jobs.find(p.run.task.job);
@@ -73,7 +74,8 @@
     const task_record& task = job->second.tasks[p.run.task.index];
     const bool next_run = task.state() == task_phase::pending && p.run.run == task.run + 1;
     const bool current = worker->second.epoch == p.epoch && !job->second.cancelled;
-    return next_run && current && fits(job->second.spec.values.size + already, worker->second.free());
+    return next_run && current &&
+           fits(job->second.spec.values.size + reserved_in_batch, worker->second.free());
 }
 
 void hall_state::reserve(wall_ms at, const placement& p)
@@ -94,7 +96,7 @@
     --job.pending;
     ++job.on_hosts;
     m_changes.workers.push_back(p.worker);
-    touch(job);
+    record_change(job);
 }
 
 void hall_state::release(wall_ms at, hall_job& job, std::uint32_t index, task_phase next)
@@ -111,7 +113,7 @@
     task.since = at;
     ++(runs_again ? job.pending : job.ended);
     m_changes.workers.push_back(task.worker);
-    touch(job);
+    record_change(job);
 }
 
 // ---------------------------------------------------------------------------------------------------------
@@ -163,7 +165,7 @@
             task->port = report.port;
             task->since = at;
             job->first_start = job->first_start == 0 ? at : job->first_start;
-            touch(*job);
+            record_change(*job);
         }
         return;
     case run_event::accepted:
@@ -196,7 +198,7 @@
     }
     const bool service = job.spec.workload() == workload_kind::service;
     release(at, job, index, service ? task_phase::pending : task_phase::ended);
-    if (job.over() && job.outcome == 0)
+    if (job.finished() && job.outcome == 0)
     {
         job.outcome = static_cast<std::uint8_t>(job_outcome::completed);
     }
@@ -209,9 +211,9 @@
     const auto reason = static_cast<stop_reason>(task.reason);
     task.checkpointed = checkpointed;
     task.preempted_once |= reason == stop_reason::preempted;
-    const bool over = !job.may_run_again() && !job.cancelled;
-    release(at, job, index, over ? task_phase::ended : task_phase::pending);
-    if (over)
+    const bool finished = !job.may_run_again() && !job.cancelled;
+    release(at, job, index, finished ? task_phase::ended : task_phase::pending);
+    if (finished)
     {
         cancel(at, job, reason == stop_reason::overused ? job_outcome::failed : job_outcome::unknown);
     }
@@ -240,9 +242,9 @@
     }
 }
 
-void hall_state::end_lost(wall_ms at, hall_job& job, std::uint32_t index, bool untold)
+void hall_state::end_lost(wall_ms at, hall_job& job, std::uint32_t index, bool unsent)
 {
-    const bool again = job.may_run_again() || (untold && !job.cancelled);
+    const bool again = job.may_run_again() || (unsent && !job.cancelled);
     release(at, job, index, again ? task_phase::pending : task_phase::ended);
     if (!again)
     {
@@ -287,7 +289,7 @@
     task.reason = static_cast<std::uint8_t>(reason);
     task.since = at;
     m_changes.workers.push_back(task.worker);
-    touch(job);
+    record_change(job);
 }
 
 } // namespace walkthread
--- a/src/state/root.cpp
+++ b/src/state/root.cpp
@@ -65,7 +65,7 @@
                                  "The request id was already used for another command.");
         }
         root_result answer = run(at, command);
-        m_requests[key] = remembered{digest, at, answer};
+        m_requests[key] = request_record{digest, at, answer};
         m_request_order.push_back(key);
         return answer;
     }
@@ -114,8 +114,8 @@
 root_result root_state::run(wall_ms at, const put_configuration& command)
 {
     const name_key key{command.organisation, command.name};
-    const auto shape = m_templates.find({command.organisation, command.template_name});
-    if (shape == m_templates.end())
+    const auto stored_template = m_templates.find({command.organisation, command.template_name});
+    if (stored_template == m_templates.end())
     {
         return refuse(state_code::unknown_name, "No template '" + command.template_name + "'.");
     }
@@ -123,8 +123,8 @@
     {
         return refuse(state_code::unknown_name, "No team '" + command.team + "'.");
     }
-    const parameters values = merge(shape->second.defaults, command.values, command.given);
-    if (!within(values, shape->second.limits))
+    const parameters values = merge(stored_template->second.defaults, command.values, command.given);
+    if (!within(values, stored_template->second.limits))
     {
         return refuse(state_code::over_template_limit, "A parameter is above the template's limit.");
     }
@@ -175,8 +175,8 @@
     {
         return refuse(state_code::unknown_name, "No configuration '" + command.name + "'.");
     }
-    const auto shape = m_templates.find({command.organisation, found->second.template_name});
-    if (shape->second.workload() == workload_kind::service)
+    const auto stored_template = m_templates.find({command.organisation, found->second.template_name});
+    if (stored_template->second.workload() == workload_kind::service)
     {
         return refuse(state_code::bad_parameter, "A service runs already; change its configuration instead.",
                       found->second.version);
@@ -209,14 +209,15 @@
             continue;
         }
         root_job& job = found->second;
-        const bool told = std::find(job.ended_in.begin(), job.ended_in.end(), end.hall) != job.ended_in.end();
-        if (told || job.spec.tasks_in(end.hall) == 0)
+        const bool already_reported =
+            std::find(job.ended_halls.begin(), job.ended_halls.end(), end.hall) != job.ended_halls.end();
+        if (already_reported || job.spec.tasks_in(end.hall) == 0)
         {
             continue;
         }
-        job.ended_in.push_back(end.hall);
+        job.ended_halls.push_back(end.hall);
         job.outcome = std::max(job.outcome, end.outcome);
-        if (job.ended_in.size() == job.spec.parts.size())
+        if (job.ended_halls.size() == job.spec.parts.size())
         {
             end_job(end.job);
         }
@@ -227,17 +228,17 @@
 root_result root_state::start_job(wall_ms at, const name_key& key, configuration& config,
                                   const std::vector<hall_part>& parts)
 {
-    const workload_template& shape = m_templates.at({key.first, config.template_name});
+    const workload_template& stored_template = m_templates.at({key.first, config.template_name});
     const job_id id{m_next_job++};
     job_spec spec;
     spec.id = id;
     spec.organisation = key.first;
     spec.team = config.team.empty() ? team_id{} : m_teams.at({key.first, config.team}).id;
-    spec.from = shape.id;
+    spec.from = stored_template.id;
     spec.name = config.name;
     spec.version = config.version;
-    spec.kind = shape.kind;
-    spec.repeatable = shape.repeatable;
+    spec.kind = stored_template.kind;
+    spec.repeatable = stored_template.repeatable;
     spec.values = config.values;
     spec.parts = parts;
     spec.submitted = at;
--- a/src/storage/data_folder.cpp
+++ b/src/storage/data_folder.cpp
@@ -49,7 +49,8 @@
 }
 
 /// Reads the identity of a folder, or stores the new one if the folder is empty.
-result<folder_identity, storage_error> find_identity(const std::string& path, const folder_identity& fresh)
+result<folder_identity, storage_error> find_identity(const std::string& path,
+                                                     const folder_identity& new_identity)
 {
     if (!std::filesystem::exists(path + '/' + identity_name))
     {
@@ -57,12 +58,12 @@
         {
             return storage_error{storage_code::damaged, "The folder has a log but no identity file."};
         }
-        const auto stored = detail::replace_file(path, identity_name, encode(fresh));
+        const auto stored = detail::replace_file(path, identity_name, encode(new_identity));
         if (!ok(stored))
         {
             return error_of(stored);
         }
-        return fresh;
+        return new_identity;
     }
     const auto bytes = detail::read_file(path + '/' + identity_name);
     if (!ok(bytes))
@@ -74,7 +75,7 @@
     {
         return storage_error{storage_code::damaged, "The identity file cannot be decoded."};
     }
-    if (value_of(identity).node != fresh.node)
+    if (value_of(identity).node != new_identity.node)
     {
         return storage_error{storage_code::foreign_folder,
                              "The folder belongs to node " + std::to_string(value_of(identity).node.value()) +
@@ -91,14 +92,14 @@
 
 data_folder::~data_folder()
 {
-    if (m_log >= 0)
+    if (m_log_fd >= 0)
     {
-        ::close(m_log);
+        ::close(m_log_fd);
     }
 }
 
 result<std::unique_ptr<data_folder>, storage_error> data_folder::open(const std::string& path,
-                                                                      const folder_identity& fresh)
+                                                                      const folder_identity& new_identity)
 {
     std::error_code failure;
     std::filesystem::create_directories(path, failure);
@@ -106,7 +107,7 @@
     {
         return storage_error{storage_code::cannot_open, path + ": " + failure.message()};
     }
-    auto identity = find_identity(path, fresh);
+    auto identity = find_identity(path, new_identity);
     if (!ok(identity))
     {
         return error_of(identity);
@@ -150,18 +151,19 @@
     {
         take_record(std::move(record));
     };
-    const auto good = detail::read_records(value_of(bytes), last, take);
-    if (!ok(good))
+    const auto valid_bytes = detail::read_records(value_of(bytes), last, take);
+    if (!ok(valid_bytes))
     {
-        return storage_error{error_of(good).code, log_name(number) + ": " + error_of(good).detail};
+        return storage_error{error_of(valid_bytes).code,
+                             log_name(number) + ": " + error_of(valid_bytes).detail};
     }
-    if (value_of(good) < value_of(bytes).size() &&
-        ::truncate(path.c_str(), static_cast<off_t>(value_of(good))) != 0)
+    if (value_of(valid_bytes) < value_of(bytes).size() &&
+        ::truncate(path.c_str(), static_cast<off_t>(value_of(valid_bytes))) != 0)
     {
         return detail::last_error(storage_code::cannot_write, path);
     }
-    m_log_bytes = value_of(good);
-    for (auto& [group, start] : m_found)
+    m_log_bytes = value_of(valid_bytes);
+    for (auto& [group, start] : m_recovered)
     {
         if (start.base.index.value() == 0 || !start.base.data.empty())
         {
@@ -190,7 +192,7 @@
 {
     if (auto* entry = std::get_if<entry_record>(&record))
     {
-        replica_start& start = m_found[entry->group];
+        replica_start& start = m_recovered[entry->group];
         while (!start.entries.empty() && start.entries.back().index >= entry->entry.index)
         {
             start.entries.pop_back();
@@ -202,11 +204,11 @@
     }
     else if (auto* state = std::get_if<state_record>(&record))
     {
-        m_found[state->group].state = state->state;
+        m_recovered[state->group].state = state->state;
     }
     else if (auto* mark = std::get_if<snapshot_record>(&record))
     {
-        replica_start& start = m_found[mark->group];
+        replica_start& start = m_recovered[mark->group];
         start.base = snapshot{};
         start.base.index = mark->index;
         std::erase_if(start.entries,
@@ -219,8 +221,8 @@
 
 replica_start data_folder::start_of(group_id group) const
 {
-    const auto found = m_found.find(group);
-    replica_start start = found == m_found.end() ? replica_start{} : found->second;
+    const auto found = m_recovered.find(group);
+    replica_start start = found == m_recovered.end() ? replica_start{} : found->second;
     const auto founding = m_identity.founding.find(group);
     if (start.base.index.value() == 0 && founding != m_identity.founding.end())
     {
@@ -242,11 +244,11 @@
     {
         return detail::last_error(storage_code::cannot_open, path);
     }
-    if (m_log >= 0)
+    if (m_log_fd >= 0)
     {
-        ::close(m_log);
+        ::close(m_log_fd);
     }
-    m_log = file;
+    m_log_fd = file;
     m_log_number = number;
     return detail::sync_folder(m_path);
 }
@@ -293,14 +295,14 @@
 
 result<done, storage_error> data_folder::flush(std::string_view bytes)
 {
-    const auto written = detail::write_all(m_log, bytes);
+    const auto written = detail::write_all(m_log_fd, bytes);
     if (!ok(written))
     {
         // Remove a partial write, so that the batch can be written again once the disk accepts writes.
-        const bool cut = ::ftruncate(m_log, static_cast<off_t>(m_log_bytes)) == 0;
+        const bool cut = ::ftruncate(m_log_fd, static_cast<off_t>(m_log_bytes)) == 0;
         return cut ? written : detail::last_error(storage_code::cannot_sync, log_name(m_log_number));
     }
-    if (::fdatasync(m_log) != 0)
+    if (::fdatasync(m_log_fd) != 0)
     {
         return detail::last_error(storage_code::cannot_sync, log_name(m_log_number));
     }
--- a/src/storage/files.cpp
+++ b/src/storage/files.cpp
@@ -18,9 +18,9 @@
 // A lack of descriptors, memory or disk space is transient, and files that are already open remain usable.
 storage_error open_error(const std::string& what)
 {
-    const bool passes = errno == EMFILE || errno == ENFILE || errno == ENOSPC || errno == EDQUOT ||
-                        errno == ENOMEM || errno == EINTR;
-    return last_error(passes ? storage_code::cannot_write : storage_code::cannot_open, what);
+    const bool transient = errno == EMFILE || errno == ENFILE || errno == ENOSPC || errno == EDQUOT ||
+                           errno == ENOMEM || errno == EINTR;
+    return last_error(transient ? storage_code::cannot_write : storage_code::cannot_open, what);
 }
 
 result<std::string, storage_error> read_file(const std::string& path)
@@ -73,11 +73,11 @@
                                          std::string_view bytes)
 {
     constexpr int mode = 0600;
-    const std::string beside = folder + '/' + name + ".new";
-    const int handle = ::open(beside.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, mode);
+    const std::string temporary_path = folder + '/' + name + ".new";
+    const int handle = ::open(temporary_path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, mode);
     if (handle < 0)
     {
-        return open_error(beside);
+        return open_error(temporary_path);
     }
     const auto written = write_all(handle, bytes);
     const bool synced = ok(written) && ::fsync(handle) == 0;
@@ -88,9 +88,9 @@
     }
     if (!synced)
     {
-        return last_error(storage_code::cannot_sync, beside);
+        return last_error(storage_code::cannot_sync, temporary_path);
     }
-    if (::rename(beside.c_str(), (folder + '/' + name).c_str()) != 0)
+    if (::rename(temporary_path.c_str(), (folder + '/' + name).c_str()) != 0)
     {
         return last_error(storage_code::cannot_write, name);
     }
--- a/src/storage/records.cpp
+++ b/src/storage/records.cpp
@@ -23,7 +23,7 @@
 static_assert(sizeof(record_header) == record_header_size);
 
 /// Whether the bytes start with a complete record with a valid checksum.
-bool is_good(std::string_view bytes, record_header& header)
+bool is_valid_record(std::string_view bytes, record_header& header)
 {
     if (bytes.size() < record_header_size)
     {
@@ -46,7 +46,7 @@
     std::memcpy(magic.data(), &record_magic, sizeof(record_magic));
     for (std::size_t at = bytes.find(magic, 1); at != std::string_view::npos; at = bytes.find(magic, at + 1))
     {
-        if (is_good(bytes.substr(at), header))
+        if (is_valid_record(bytes.substr(at), header))
         {
             return true;
         }
@@ -72,7 +72,7 @@
     while (at < bytes.size())
     {
         const std::string_view rest = bytes.substr(at);
-        if (!is_good(rest, header))
+        if (!is_valid_record(rest, header))
         {
             const bool torn = torn_tail_allowed && !has_good_record(rest);
             if (torn)
--- a/tests/src/replica_network.hpp
+++ b/tests/src/replica_network.hpp
@@ -39,7 +39,7 @@
         for (const replica_id& id : founders)
         {
             member& m = m_members[id];
-            m.speed = 1.0 + m_rates.drift * (2.0 * unit() - 1.0);
+            m.speed = 1.0 + m_rates.drift * (2.0 * random_unit() - 1.0);
             m.disk.base.members.voters = founders;
             start(id);
         }
@@ -105,13 +105,13 @@
         start(fresh);
         return fresh;
     }
-    void cut(const replica_id& from, const replica_id& to)
+    void block_link(const replica_id& from, const replica_id& to)
     {
-        m_cut.insert({from.node, to.node});
+        m_blocked_links.insert({from.node, to.node});
     }
     void heal()
     {
-        m_cut.clear();
+        m_blocked_links.clear();
     }
     void set_delay(std::uint64_t longest_ms)
     {
@@ -176,9 +176,9 @@
     {
         return m_committed;
     }
-    const std::string& broken() const
+    const std::string& violation() const
     {
-        return m_broken;
+        return m_violation;
     }
     std::uint64_t sent() const
     {
@@ -188,12 +188,12 @@
     {
         return m_now;
     }
-    double unit()
+    double random_unit()
     {
         constexpr double scale = 1.0 / static_cast<double>(1ULL << 53U);
         return static_cast<double>(m_random() >> 11U) * scale;
     }
-    std::uint64_t pick(std::uint64_t below)
+    std::uint64_t random_below(std::uint64_t below)
     {
         return m_random() % below;
     }
@@ -272,28 +272,28 @@
     {
         if (entry.index.value() != m.applied.value() + 1)
         {
-            m_broken = "entry applied out of order";
+            m_violation = "entry applied out of order";
         }
         m.applied = entry.index;
         const std::string content = std::to_string(entry.term.value()) + ':' + entry.data;
         const auto [found, fresh] = m_committed.emplace(entry.index, content);
         if (!fresh && found->second != content)
         {
-            m_broken = "different entries applied at index " + std::to_string(entry.index.value());
+            m_violation = "different entries applied at index " + std::to_string(entry.index.value());
         }
     }
 
     void post(const replica_envelope& envelope)
     {
         ++m_sent;
-        if (unit() < m_rates.loss || m_cut.contains({envelope.from.node, envelope.to.node}))
+        if (random_unit() < m_rates.loss || m_blocked_links.contains({envelope.from.node, envelope.to.node}))
         {
             return;
         }
-        const int copies = unit() < m_rates.repeat ? 2 : 1;
+        const int copies = random_unit() < m_rates.repeat ? 2 : 1;
         for (int i = 0; i < copies; ++i)
         {
-            const milliseconds delay{1 + static_cast<std::int64_t>(pick(m_rates.delay_ms))};
+            const milliseconds delay{1 + static_cast<std::int64_t>(random_below(m_rates.delay_ms))};
             m_queue.emplace(m_now + delay, envelope);
         }
     }
@@ -328,7 +328,7 @@
         const auto [found, fresh] = m_leaders.emplace(core.term(), id);
         if (!fresh && found->second != id)
         {
-            m_broken = "two leaders in term " + std::to_string(core.term().value());
+            m_violation = "two leaders in term " + std::to_string(core.term().value());
         }
     }
 
@@ -341,7 +341,7 @@
         }
         if (holders > 1)
         {
-            m_broken = "two replicas hold the lease";
+            m_violation = "two replicas hold the lease";
         }
     }
 
@@ -351,10 +351,10 @@
     monotonic_time m_now{seconds(1000)};
     std::map<replica_id, member> m_members;
     std::multimap<monotonic_time, replica_envelope> m_queue;
-    std::set<std::pair<node_id, node_id>> m_cut;
+    std::set<std::pair<node_id, node_id>> m_blocked_links;
     std::map<term_id, replica_id> m_leaders;
     std::map<log_index, std::string> m_committed;
-    std::string m_broken;
+    std::string m_violation;
     std::uint64_t m_sent = 0;
 };
 
--- a/tests/src/unit-hall.cpp
+++ b/tests/src/unit-hall.cpp
@@ -80,7 +80,7 @@
     BOOST_TEST(hall.state().workers().at(worker_id{1}).reserved.cpu == whole.cpu);
     hall.report_all(job, run_event::stopped);
     BOOST_TEST(hall.state().workers().at(worker_id{1}).reserved.cpu == 0);
-    BOOST_TEST(hall.state().jobs().at(job).over());
+    BOOST_TEST(hall.state().jobs().at(job).finished());
 }
 
 BOOST_AUTO_TEST_CASE(a_not_repeatable_task_that_was_lost_never_runs_again)
@@ -118,7 +118,7 @@
             again.worker = task.worker;
             again.size = whole;
             again.previous = epoch_id{1};
-            again.untold = {run};
+            again.unsent = {run};
             hall.apply(again);
         }
         else
@@ -155,7 +155,7 @@
             const hall_job& job = hall.state().jobs().at(spec.id);
             const job_outcome expected = ordered ? job_outcome::failed : job_outcome::unknown;
             BOOST_TEST(job.tasks[0].run == 1U);
-            BOOST_TEST(job.over());
+            BOOST_TEST(job.finished());
             BOOST_TEST(job.outcome == static_cast<std::uint8_t>(expected));
         }
     }
--- a/tests/src/unit-leases.cpp
+++ b/tests/src/unit-leases.cpp
@@ -37,14 +37,14 @@
                 const replica_id lost = leader->self();
                 for (const replica_id& other : net.ids())
                 {
-                    net.cut(lost, other);
-                    net.cut(other, lost);
+                    net.block_link(lost, other);
+                    net.block_link(other, lost);
                 }
-                net.run(milliseconds(300 + 100 * static_cast<std::int64_t>(net.pick(30))));
+                net.run(milliseconds(300 + 100 * static_cast<std::int64_t>(net.random_below(30))));
                 net.heal();
                 net.run(seconds(3));
             }
-            BOOST_TEST(net.broken() == "");
+            BOOST_TEST(net.violation() == "");
         }
     }
 }
--- a/tests/src/unit-newcomers.cpp
+++ b/tests/src/unit-newcomers.cpp
@@ -40,9 +40,9 @@
             return found == heard.end() ? std::nullopt : std::optional(found->second);
         };
     }
-    newcomer_decision judge(const replica_id& asks) const
+    newcomer_decision decide(const replica_id& requester) const
     {
-        return judge_newcomer(members, asks, settings, hooks, now);
+        return judge_newcomer(members, requester, settings, hooks, now);
     }
 };
 } // namespace
@@ -50,7 +50,7 @@
 BOOST_FIXTURE_TEST_CASE(a_lost_disk_comes_back_in_the_place_of_its_voter, newcomer_fixture)
 {
     now += seconds(1);
-    const newcomer_decision decided = judge(make_replica(2, 7));
+    const newcomer_decision decided = decide(make_replica(2, 7));
     BOOST_REQUIRE(decided.add);
     BOOST_TEST(decided.add->promote);
     BOOST_TEST((decided.add->replaces == make_replica(2, 1)));
@@ -59,10 +59,10 @@
 // The join request of a replica whose disk was lost again arrives after its successor has joined.
 BOOST_FIXTURE_TEST_CASE(a_request_that_comes_late_replaces_nobody, newcomer_fixture)
 {
-    const newcomer_decision decided = judge(make_replica(2, 7));
+    const newcomer_decision decided = decide(make_replica(2, 7));
     BOOST_TEST(!decided.add);
     BOOST_TEST(!decided.remove);
-    BOOST_TEST((decided.present == make_replica(2, 1)));
+    BOOST_TEST((decided.live_replica == make_replica(2, 1)));
 }
 
 BOOST_FIXTURE_TEST_CASE(a_newcomer_that_catches_up_is_not_pushed_out_by_a_late_request, newcomer_fixture)
@@ -71,17 +71,17 @@
     const replica_id successor = make_replica(2, 8);
     members.learners.push_back({successor, true, make_replica(2, 1)});
     heard[successor] = now;
-    BOOST_TEST((judge(make_replica(2, 7)).present == successor));
+    BOOST_TEST((decide(make_replica(2, 7)).live_replica == successor));
     now += seconds(1);
-    BOOST_TEST((judge(make_replica(2, 9)).remove == successor));
+    BOOST_TEST((decide(make_replica(2, 9)).remove == successor));
 }
 
 BOOST_FIXTURE_TEST_CASE(another_host_stands_by, newcomer_fixture)
 {
-    const newcomer_decision decided = judge(make_replica(4, 5));
+    const newcomer_decision decided = decide(make_replica(4, 5));
     BOOST_REQUIRE(decided.add);
     BOOST_TEST(!decided.add->promote);
-    BOOST_TEST(!judge(make_replica(1, 1)).add); // already a member
+    BOOST_TEST(!decide(make_replica(1, 1)).add); // already a member
 }
 
 BOOST_FIXTURE_TEST_CASE(a_newcomer_that_never_answers_makes_room, newcomer_fixture)
--- a/tests/src/unit-power.cpp
+++ b/tests/src/unit-power.cpp
@@ -25,11 +25,11 @@
 // Proposes entries for a random time, so that appends, fsyncs and replies are in flight at the power loss.
 void propose_for_a_while(replica_network& net)
 {
-    const std::uint64_t count = 20 + net.pick(40);
+    const std::uint64_t count = 20 + net.random_below(40);
     for (std::uint64_t i = 0; i < count; ++i)
     {
         net.propose("p" + std::to_string(i));
-        net.run(milliseconds(10 + 10 * static_cast<std::int64_t>(net.pick(4))));
+        net.run(milliseconds(10 + 10 * static_cast<std::int64_t>(net.random_below(4))));
     }
 }
 
@@ -51,16 +51,16 @@
     std::vector<lost_disk> lost;
     for (std::size_t i = 0; i < disks_lost; ++i)
     {
-        const std::size_t chosen = net.pick(left.size());
+        const std::size_t chosen = net.random_below(left.size());
         lost.push_back({left[chosen], net.lose_disk(left[chosen])});
         net.stop(lost.back().fresh);
         left.erase(left.begin() + static_cast<std::ptrdiff_t>(chosen));
     }
-    net.run(milliseconds(10 + static_cast<std::int64_t>(net.pick(1500))));
+    net.run(milliseconds(10 + static_cast<std::int64_t>(net.random_below(1500))));
     for (const replica_id& id : net.ids())
     {
         net.start(id);
-        net.run(milliseconds(static_cast<std::int64_t>(net.pick(300))));
+        net.run(milliseconds(static_cast<std::int64_t>(net.random_below(300))));
     }
     return lost;
 }
@@ -99,7 +99,7 @@
                 const std::map<log_index, std::string> before = net.committed();
                 const std::vector<lost_disk> lost = lose_power_and_disks(net);
                 repair(net, lost);
-                BOOST_REQUIRE_EQUAL(net.broken(),
+                BOOST_REQUIRE_EQUAL(net.violation(),
                                     ""); // includes the check that no index gets two different entries
                 replica* leader = net.find_leader();
                 BOOST_REQUIRE(leader != nullptr);
--- a/tests/src/unit-replication.cpp
+++ b/tests/src/unit-replication.cpp
@@ -42,7 +42,7 @@
     net.run(seconds(20));
     BOOST_TEST_CONTEXT("seed " << seed)
     {
-        BOOST_REQUIRE_EQUAL(net.broken(), "");
+        BOOST_REQUIRE_EQUAL(net.violation(), "");
         replica* leader = net.find_leader();
         BOOST_REQUIRE(leader != nullptr);
         for (const replica_id& voter : leader->members().voters)
@@ -86,21 +86,21 @@
         for (int step = 0; step < 25; ++step)
         {
             const std::vector<replica_id> ids = net.ids();
-            const replica_id a = ids[net.pick(ids.size())];
-            const replica_id b = ids[net.pick(ids.size())];
-            switch (net.pick(7))
+            const replica_id a = ids[net.random_below(ids.size())];
+            const replica_id b = ids[net.random_below(ids.size())];
+            switch (net.random_below(7))
             {
             case 6:
-                net.set_delay(net.pick(2) == 0 ? 60 : 300); // late replies, as with slow disks
+                net.set_delay(net.random_below(2) == 0 ? 60 : 300); // late replies, as with slow disks
                 break;
             case 0:
-                net.cut(a, b);
+                net.block_link(a, b);
                 break;
             case 1:
                 net.heal();
                 break;
             case 2:
-                net.freeze(a, milliseconds(net.pick(6000)));
+                net.freeze(a, milliseconds(net.random_below(6000)));
                 break;
             case 3:
                 net.stop(a);
@@ -119,7 +119,7 @@
             }
             BOOST_TEST_CONTEXT("seed " << seed)
             {
-                BOOST_REQUIRE_EQUAL(net.broken(), "");
+                BOOST_REQUIRE_EQUAL(net.violation(), "");
             }
         }
         check_converged(net, seed);
@@ -164,7 +164,7 @@
                 net.run(milliseconds(20));
             }
             const std::vector<replica_id> ids = net.ids();
-            const replica_id lost = ids[net.pick(ids.size())];
+            const replica_id lost = ids[net.random_below(ids.size())];
             const replica_id fresh = net.lose_disk(lost);
             for (int i = 0;
                  i < 400 && !(net.find_leader() != nullptr && net.find_leader()->members().is_voter(fresh) &&
@@ -200,7 +200,7 @@
     net.run(seconds(30));
     BOOST_TEST(net.find_leader() == nullptr);
     BOOST_TEST(net.committed().size() == before);
-    BOOST_TEST(net.broken() == "");
+    BOOST_TEST(net.violation() == "");
 }
 
 // A leader without contact to its quorum steps down and another one is elected.
@@ -211,14 +211,14 @@
     const replica_id old = net.find_leader()->self();
     for (const replica_id& id : net.ids())
     {
-        net.cut(old, id);
-        net.cut(id, old);
+        net.block_link(old, id);
+        net.block_link(id, old);
     }
     net.run(seconds(6));
     BOOST_TEST((net.core(old).role() != replica_role::leader));
     BOOST_REQUIRE(net.find_leader() != nullptr);
     BOOST_TEST((net.find_leader()->self() != old));
-    BOOST_TEST(net.broken() == "");
+    BOOST_TEST(net.violation() == "");
 }
 
 // Staggered campaigns rarely split the vote and elect a leader within half a second; randomized timeouts
@@ -288,7 +288,7 @@
         net.run(milliseconds(250));
         replica* leader = net.find_leader();
         back += leader != nullptr && leader->self() == last ? 1 : 0;
-        BOOST_TEST(net.broken() == "");
+        BOOST_TEST(net.violation() == "");
     }
     BOOST_TEST(back >= 45U);
 }
@@ -310,7 +310,7 @@
             BOOST_TEST(net.terms_led() <= before + 1);
             BOOST_REQUIRE(net.find_leader() != nullptr);
             BOOST_TEST(net.propose("a"));
-            BOOST_TEST(net.broken() == "");
+            BOOST_TEST(net.violation() == "");
         }
     }
 }
@@ -329,14 +329,14 @@
             const replica_id leader = net.find_leader()->self();
             std::vector<replica_id> rest = net.ids();
             std::erase(rest, leader);
-            net.cut(leader, rest[0]);
+            net.block_link(leader, rest[0]);
             net.run(milliseconds(cut_after));
-            net.cut(rest[0], leader);
-            net.cut(rest[1], leader);
+            net.block_link(rest[0], leader);
+            net.block_link(rest[1], leader);
             net.run(seconds(4));
             BOOST_TEST_CONTEXT("seed " << seed << ", cut after " << cut_after << " ms")
             {
-                BOOST_REQUIRE_EQUAL(net.broken(), "");
+                BOOST_REQUIRE_EQUAL(net.violation(), "");
             }
         }
     }
@@ -463,7 +463,7 @@
     net.run(seconds(2));
     BOOST_TEST(leader->members().is_voter(fresh));
     BOOST_TEST(!leader->members().is_voter(lost));
-    BOOST_REQUIRE_EQUAL(net.broken(), "");
+    BOOST_REQUIRE_EQUAL(net.violation(), "");
 }
 
 // A new leader replied to a worker before it had applied the entry that placed the worker's tasks, and
--- a/tests/src/unit-storage.cpp
+++ b/tests/src/unit-storage.cpp
@@ -39,7 +39,7 @@
     return {node_id{1}, incarnation_id{7}, {}};
 }
 
-std::unique_ptr<data_folder> open_good(const std::string& path)
+std::unique_ptr<data_folder> open_valid(const std::string& path)
 {
     auto opened = data_folder::open(path, identity());
     BOOST_REQUIRE(ok(opened));
@@ -85,8 +85,8 @@
 BOOST_AUTO_TEST_CASE(what_was_synced_is_found_again)
 {
     const scratch_folder scratch;
-    write(*open_good(scratch.path), entries(1, 5, 2));
-    const replica_start found = open_good(scratch.path)->start_of(group);
+    write(*open_valid(scratch.path), entries(1, 5, 2));
+    const replica_start found = open_valid(scratch.path)->start_of(group);
     BOOST_TEST(found.entries.size() == 5U);
     BOOST_TEST(found.state.term.value() == 2U);
 }
@@ -94,10 +94,10 @@
 BOOST_AUTO_TEST_CASE(a_later_entry_replaces_those_at_its_index_and_after_it)
 {
     const scratch_folder scratch;
-    const auto folder = open_good(scratch.path);
+    const auto folder = open_valid(scratch.path);
     write(*folder, entries(1, 5, 1));
     write(*folder, entries(3, 3, 2));
-    const replica_start found = open_good(scratch.path)->start_of(group);
+    const replica_start found = open_valid(scratch.path)->start_of(group);
     BOOST_REQUIRE_EQUAL(found.entries.size(), 3U);
     BOOST_TEST(found.entries.back().term.value() == 2U);
 }
@@ -106,14 +106,14 @@
 BOOST_AUTO_TEST_CASE(a_torn_tail_is_cut_at_every_byte)
 {
     const scratch_folder scratch;
-    write(*open_good(scratch.path), entries(1, 2, 1));
+    write(*open_valid(scratch.path), entries(1, 2, 1));
     const std::size_t synced = read_all(log_path(scratch)).size();
-    write(*open_good(scratch.path), entries(3, 3, 1));
+    write(*open_valid(scratch.path), entries(3, 3, 1));
     const std::string whole = read_all(log_path(scratch));
     for (std::size_t size = synced; size < whole.size(); ++size)
     {
         write_all(log_path(scratch), whole.substr(0, size));
-        BOOST_REQUIRE_EQUAL(open_good(scratch.path)->start_of(group).entries.size(), 2U);
+        BOOST_REQUIRE_EQUAL(open_valid(scratch.path)->start_of(group).entries.size(), 2U);
         BOOST_REQUIRE_LE(read_all(log_path(scratch)).size(), size);
     }
 }
@@ -121,7 +121,7 @@
 BOOST_AUTO_TEST_CASE(damage_before_synced_records_is_an_error)
 {
     const scratch_folder scratch;
-    write(*open_good(scratch.path), entries(1, 9, 1));
+    write(*open_valid(scratch.path), entries(1, 9, 1));
     std::string bytes = read_all(log_path(scratch));
     bytes[bytes.size() / 2] ^= 0x40;
     write_all(log_path(scratch), bytes);
@@ -133,7 +133,7 @@
 BOOST_AUTO_TEST_CASE(a_foreign_folder_and_one_without_identity_are_refused)
 {
     const scratch_folder scratch;
-    write(*open_good(scratch.path), entries(1, 1, 1));
+    write(*open_valid(scratch.path), entries(1, 1, 1));
     const auto foreign = data_folder::open(scratch.path, {node_id{2}, incarnation_id{7}, {}});
     BOOST_TEST((error_of(foreign).code == storage_code::foreign_folder));
     std::filesystem::remove(scratch.path + "/identity");
@@ -144,7 +144,7 @@
 BOOST_AUTO_TEST_CASE(an_empty_folder_gets_the_fresh_identity_and_a_used_one_keeps_its_own)
 {
     const scratch_folder scratch;
-    open_good(scratch.path);
+    open_valid(scratch.path);
     const auto again = data_folder::open(scratch.path, {node_id{1}, incarnation_id{99}, {}});
     BOOST_TEST(value_of(again)->identity().incarnation.value() == 7U);
 }
@@ -152,10 +152,10 @@
 BOOST_AUTO_TEST_CASE(a_snapshot_takes_the_place_of_entries)
 {
     const scratch_folder scratch;
-    const auto folder = open_good(scratch.path);
+    const auto folder = open_valid(scratch.path);
     write(*folder, entries(1, 10, 1));
     BOOST_REQUIRE(ok(folder->store_snapshot(group, snapshot{log_index{8}, term_id{1}, {}, "state"})));
-    const replica_start found = open_good(scratch.path)->start_of(group);
+    const replica_start found = open_valid(scratch.path)->start_of(group);
     BOOST_TEST(found.base.data == "state");
     BOOST_TEST(found.entries.size() == 2U);
 }
@@ -163,7 +163,7 @@
 BOOST_AUTO_TEST_CASE(a_rewritten_log_holds_the_same)
 {
     const scratch_folder scratch;
-    const auto folder = open_good(scratch.path);
+    const auto folder = open_valid(scratch.path);
     write(*folder, entries(1, 1000, 1));
     BOOST_REQUIRE(ok(folder->store_snapshot(group, snapshot{log_index{990}, term_id{1}, {}, "state"})));
     replica_start live;
@@ -172,7 +172,7 @@
     live.entries = entries(991, 1000, 1).append;
     BOOST_REQUIRE(ok(folder->rewrite({{group, live}})));
     write(*folder, entries(1001, 1001, 1));
-    const replica_start found = open_good(scratch.path)->start_of(group);
+    const replica_start found = open_valid(scratch.path)->start_of(group);
     BOOST_TEST(found.base.index.value() == 990U);
     BOOST_TEST(found.entries.size() == 11U);
     BOOST_TEST(!std::filesystem::exists(log_path(scratch)));
@@ -182,7 +182,7 @@
 BOOST_AUTO_TEST_CASE(a_full_disk_is_an_error)
 {
     const scratch_folder scratch;
-    const auto folder = open_good(scratch.path);
+    const auto folder = open_valid(scratch.path);
     write(*folder, entries(1, 100, 1));
     std::signal(SIGXFSZ, SIG_IGN);
     rlimit before{};
@@ -194,7 +194,7 @@
     ::setrlimit(RLIMIT_FSIZE, &before);
     BOOST_REQUIRE(!ok(synced));
     BOOST_TEST((error_of(synced).code == storage_code::cannot_write));
-    BOOST_TEST(open_good(scratch.path)->start_of(group).entries.size() == 100U);
+    BOOST_TEST(open_valid(scratch.path)->start_of(group).entries.size() == 100U);
 }
 
 // A leader of 1,100 workers had no file descriptor left for its snapshot and terminated, because every failed
@@ -204,7 +204,7 @@
 {
     const scratch_folder scratch;
     {
-        const auto folder = open_good(scratch.path);
+        const auto folder = open_valid(scratch.path);
         write(*folder, entries(1, 5, 1));
         rlimit before{};
         BOOST_REQUIRE(::getrlimit(RLIMIT_NOFILE, &before) == 0);
@@ -226,7 +226,7 @@
         BOOST_TEST(ok(synced));
         BOOST_TEST(ok(folder->store_snapshot(group, content)));
     }
-    const replica_start found = open_good(scratch.path)->start_of(group);
+    const replica_start found = open_valid(scratch.path)->start_of(group);
     BOOST_TEST(found.base.index.value() == 5U);
     BOOST_TEST(found.entries.size() == 3U);
 }
