--- a/include/walkthread/policy/lease_table.hpp
+++ b/include/walkthread/policy/lease_table.hpp
@@ -41,7 +41,7 @@
 
   private:
     duration m_surely_over;
-    std::unordered_map<worker_id, monotonic_time> m_answered;
+    std::unordered_map<worker_id, monotonic_time> m_granted_at;
     std::set<worker_id> m_losing;
 };
 
--- a/include/walkthread/policy/scheduler.hpp
+++ b/include/walkthread/policy/scheduler.hpp
@@ -140,7 +140,7 @@
 
     void sync_job(job_id id, const hall_state& state);
     [[nodiscard]] std::vector<cursor> make_cursors();
-    void settle(cursor& c);
+    void advance_to_waiting_job(cursor& c);
     [[nodiscard]] cursor* choose(std::vector<cursor>& cursors, const plan_state& p);
     wait_reason try_job(const hall_job& job, plan_state& p);
 
--- a/include/walkthread/policy/usage_guard.hpp
+++ b/include/walkthread/policy/usage_guard.hpp
@@ -17,7 +17,7 @@
 /// @brief Action to take on a run.
 enum class usage_verdict : std::uint8_t
 {
-    fine = 0,
+    none = 0,
     throttle = 1,
     stop = 2,
 };
@@ -36,8 +36,8 @@
     static constexpr duration stop_after = seconds(30);
 
     /// @brief Evaluates one usage report. Complexity: constant.
-    [[nodiscard]] usage_verdict judge(const run_id& run, const resources& declared, std::int64_t cpu,
-                                      std::int64_t memory, monotonic_time now);
+    [[nodiscard]] usage_verdict evaluate(const run_id& run, const resources& declared, std::int64_t cpu,
+                                         std::int64_t memory, monotonic_time now);
     /// @brief Drops the history of a task, once its run has ended.
     void forget(const task_id& task);
 
--- a/include/walkthread/workload/crash_ledger.hpp
+++ b/include/walkthread/workload/crash_ledger.hpp
@@ -29,13 +29,13 @@
 inline constexpr std::uint32_t sole = 22;
 /// Its submission was one of two that had just started runs there. Three such crashes stay below the
 /// threshold; the fourth run is isolated, which gives clear evidence.
-inline constexpr std::uint32_t shared = 9;
+inline constexpr std::uint32_t one_of_two_submissions = 9;
 /// More than two submissions had just started runs there, or this was the only run. A task with at least
 /// this blame is started isolated, so that a second crash gives clearer evidence.
 inline constexpr std::uint32_t crowd = 8;
 /// It had been running for a while: fails after five crashes. No share is smaller, since the platform allows
 /// only two starts after the third crash.
-inline constexpr std::uint32_t least = 6;
+inline constexpr std::uint32_t min_share = 6;
 /// Crashes during runs that are known to have started; the platform does not allow a task to be failed after
 /// fewer. With just this many, its submission must have been the only recent one each time, since otherwise
 /// the other submission may have caused a crash.
@@ -78,7 +78,7 @@
 };
 
 /// @brief A task that was failed because it crashes its hosts.
-struct verdict
+struct poison_task
 {
     task_ref task{};
     suspicion against;
@@ -117,7 +117,7 @@
         return m_suspects;
     }
     /// @brief The most recent tasks failed as poison tasks, oldest first.
-    [[nodiscard]] const std::vector<verdict>& verdicts() const
+    [[nodiscard]] const std::vector<poison_task>& verdicts() const
     {
         return m_verdicts;
     }
@@ -141,7 +141,7 @@
 
     std::map<task_ref, suspicion> m_suspects;
     std::vector<unheard_host> m_unheard; ///< oldest first
-    std::vector<verdict> m_verdicts;
+    std::vector<poison_task> m_verdicts;
     std::uint64_t m_verdict_count{};
 
   public:
--- a/include/walkthread/workload/workload_state.hpp
+++ b/include/walkthread/workload/workload_state.hpp
@@ -144,7 +144,7 @@
     /// @brief Number of submissions of a queue that have not started any task.
     [[nodiscard]] std::uint32_t queued(const std::string& queue) const;
     /// @brief Whether a run is the active run of its task and its submission is not final.
-    [[nodiscard]] bool wants(const run_ref& run) const;
+    [[nodiscard]] bool needs_run(const run_ref& run) const;
     /// @brief The state of a task; null if there is none, also once its submission is final and has no active
     /// runs.
     [[nodiscard]] const work_task* find(const task_ref& ref) const;
@@ -152,7 +152,7 @@
     [[nodiscard]] const step_spec* find(const step_ref& ref) const;
 
   private:
-    struct image
+    struct snapshot_content
     {
         std::optional<catalogue> held;
         std::vector<submission> submissions;
@@ -184,7 +184,7 @@
     bool start(const planned_start& planned);
     [[nodiscard]] bool can_start(const planned_start& planned) const;
     void start_all_or_none(const record_starts& command);
-    void take_end(wall_ms at, worker_life& worker, const observed_end& end);
+    void apply_end(wall_ms at, worker_life& worker, const observed_end& end);
     void complete_task(wall_ms at, submission& owner, const task_ref& ref);
     void complete_gang(wall_ms at, submission& owner, const run_ref& run);
     void fail_task(wall_ms at, submission& owner, const run_ref& run, worker_life_id worker);
@@ -196,7 +196,7 @@
     void finish_upkeep(const std::string& host);
     void retire(const life_ref& life);
     void number_life(const admit_worker& command);
-    void carry_over(wall_ms at, const admit_worker& command, worker_life_id former);
+    void transfer_runs(wall_ms at, const admit_worker& command, worker_life_id former);
     void remember_unheard(const worker_life& worker);
     void recall_unheard(worker_life& worker);
     void finish(wall_ms at, submission& owner, submission_phase phase);
@@ -222,7 +222,7 @@
     // Indexes derived from the above; not saved.
     key_ring m_keys;
     std::uint64_t m_workers_version = 1;
-    std::vector<submission_id> m_over; ///< submissions ended by the command that is being applied
+    std::vector<submission_id> m_ended_by_command; ///< submissions ended by the command that is being applied
     std::unordered_map<std::string, std::size_t> m_queue_places; ///< positions in the configuration, by name
     std::map<life_ref, worker_life_id> m_by_life;
     std::map<std::string, worker_life_id> m_by_host;
--- a/src/dispatch/dispatcher_orders.cpp
+++ b/src/dispatch/dispatcher_orders.cpp
@@ -22,7 +22,7 @@
 // Since the start was planned, the worker may have begun to drain, or the submission may have been cancelled.
 bool dispatcher::may_still_start(const worker_view& view, const run_ref& run) const
 {
-    return !view.draining && !view.gone && m_state.wants(run);
+    return !view.draining && !view.gone && m_state.needs_run(run);
 }
 
 // Sends the committed starts. Sends none of a gang if any of its members may no longer start.
@@ -266,7 +266,7 @@
     if (!known.stopping)
     {
         log_event(now, "run_stopping", name_of(run),
-                  {{"worker", m_state.find(view.id)->facts.id}, {"wanted", m_state.wants(run)}});
+                  {{"worker", m_state.find(view.id)->facts.id}, {"wanted", m_state.needs_run(run)}});
     }
     known.stopping = true;
     known.stop_in_flight = true;
@@ -348,7 +348,7 @@
         }
         for (const run_ref& run : again)
         {
-            const bool left = m_state.wants(run) && !may_still_start(view, run);
+            const bool left = m_state.needs_run(run) && !may_still_start(view, run);
             m_counters.starts_withdrawn += left ? 1 : 0;
             const run_view& known = view.runs[run];
             const bool sendable = known.tries > 0
--- a/src/dispatch/dispatcher_workers.cpp
+++ b/src/dispatch/dispatcher_workers.cpp
@@ -197,7 +197,7 @@
             known.percent = listed.percent;
             known.progressed = now;
         }
-        if (!m_state.wants(listed.run) && !m_state.closing().contains(listed.run.task.step.submission))
+        if (!m_state.needs_run(listed.run) && !m_state.closing().contains(listed.run.task.step.submission))
         {
             const work_task* task = m_state.find(listed.run.task);
             const bool gang_done = task != nullptr && task->state() == work_phase::completed;
--- a/src/dispatch/lost_runs.cpp
+++ b/src/dispatch/lost_runs.cpp
@@ -25,7 +25,7 @@
 // don't share the blame: if one of them is at fault, the submission is failed as a whole.
 std::uint32_t share_of_each(std::size_t submissions)
 {
-    return submissions == 1 ? blame::sole : submissions == 2 ? blame::shared : blame::crowd;
+    return submissions == 1 ? blame::sole : submissions == 2 ? blame::one_of_two_submissions : blame::crowd;
 }
 } // namespace
 
@@ -57,10 +57,10 @@
         }
         if (view.broke_with_gang(run))
         {
-            out.push_back({run, false, blame::least, known.checkpoint, true});
+            out.push_back({run, false, blame::min_share, known.checkpoint, true});
             continue;
         }
-        std::uint32_t share = young(known) ? share_of_each(just_begun.size()) : blame::least;
+        std::uint32_t share = young(known) ? share_of_each(just_begun.size()) : blame::min_share;
         if (just_begun.empty() && view.runs.size() == 1 && known.settled)
         {
             share = blame::crowd;
--- a/src/node/hall_renewals.cpp
+++ b/src/node/hall_renewals.cpp
@@ -137,7 +137,7 @@
     }
     const resources& declared = job.spec.values.size;
     const usage_verdict verdict =
-        m_leading->usage.judge(status.run, declared, status.cpu, status.memory, now);
+        m_leading->usage.evaluate(status.run, declared, status.cpu, status.memory, now);
     if (verdict == usage_verdict::throttle)
     {
         m_leading->over_size.insert(status.run);
--- a/src/policy/lease_table.cpp
+++ b/src/policy/lease_table.cpp
@@ -10,17 +10,17 @@
 
 void lease_table::reset(const std::vector<worker_id>& workers, monotonic_time now)
 {
-    m_answered.clear();
+    m_granted_at.clear();
     m_losing.clear();
     for (const worker_id worker : workers)
     {
-        m_answered[worker] = now;
+        m_granted_at[worker] = now;
     }
 }
 
 void lease_table::granted(worker_id worker, monotonic_time now)
 {
-    m_answered[worker] = now;
+    m_granted_at[worker] = now;
 }
 
 bool lease_table::may_grant(worker_id worker) const
@@ -31,7 +31,7 @@
 std::vector<worker_id> lease_table::expire(monotonic_time now)
 {
     std::vector<worker_id> over;
-    for (const auto& [worker, answered] : m_answered)
+    for (const auto& [worker, answered] : m_granted_at)
     {
         if (now - answered > m_surely_over && !m_losing.contains(worker))
         {
@@ -44,7 +44,7 @@
 
 void lease_table::forget(worker_id worker)
 {
-    m_answered.erase(worker);
+    m_granted_at.erase(worker);
     m_losing.erase(worker);
 }
 
--- a/src/policy/scheduler.cpp
+++ b/src/policy/scheduler.cpp
@@ -151,7 +151,7 @@
         if (!goes_on)
         {
             ++c->next;
-            settle(*c);
+            advance_to_waiting_job(*c);
         }
         const bool blocks = !m_settings.skip_blocked && reason != wait_reason::none;
         if (blocks)
@@ -172,14 +172,14 @@
     {
         constexpr std::size_t top = job_queue::levels - 1;
         cursor c{organisation, top, m_queue.jobs_of(organisation, top).begin(), false};
-        settle(c);
+        advance_to_waiting_job(c);
         cursors.push_back(c);
     }
     return cursors;
 }
 
 // Moves a cursor at the end of its level to the next lower level that has jobs.
-void scheduler::settle(cursor& c)
+void scheduler::advance_to_waiting_job(cursor& c)
 {
     while (c.next == m_queue.jobs_of(c.organisation, c.level).end())
     {
@@ -206,8 +206,8 @@
         {
             continue;
         }
-        const bool can_wait = c.level < urgent;
-        const std::tuple rank{can_wait, m_settings.fair ? share_of(c.organisation, p) : 0.0, *c.next};
+        const bool not_urgent = c.level < urgent;
+        const std::tuple rank{not_urgent, m_settings.fair ? share_of(c.organisation, p) : 0.0, *c.next};
         if (best == nullptr || rank < best_rank)
         {
             best = &c;
--- a/src/policy/scheduler_place.cpp
+++ b/src/policy/scheduler_place.cpp
@@ -243,8 +243,8 @@
                               m_pool.give_back(c.second, need);
                           });
             reserve_for(job, p);
-            const bool mine = m_reservation && m_reservation->job == job.spec.id;
-            return mine ? wait_reason::gang_reserved : wait_reason::no_room;
+            const bool reserved_for_job = m_reservation && m_reservation->job == job.spec.id;
+            return reserved_for_job ? wait_reason::gang_reserved : wait_reason::no_room;
         }
         m_pool.take(*slot, need);
         chosen.emplace_back(i, *slot);
@@ -272,27 +272,27 @@
     {
         return;
     }
-    std::vector<std::pair<wall_ms, host_slot>> rooms;
-    const std::size_t looks =
+    std::vector<std::pair<wall_ms, host_slot>> fit_slots;
+    const std::size_t hosts_to_examine =
         std::min(m_pool.size(), std::max(hosts_per_reservation, std::size_t{4} * job.pending));
     const std::size_t first = m_random() % m_pool.size();
-    m_pool.count_looks(looks);
-    for (std::size_t i = 0; i < looks; ++i)
+    m_pool.count_looks(hosts_to_examine);
+    for (std::size_t i = 0; i < hosts_to_examine; ++i)
     {
         const host_slot slot = (first + i) % m_pool.size();
         for (const wall_ms at : room_times(slot, job.spec.values.size, p))
         {
-            rooms.emplace_back(at, slot);
+            fit_slots.emplace_back(at, slot);
         }
     }
-    if (rooms.size() < job.pending)
+    if (fit_slots.size() < job.pending)
     {
         return;
     }
-    std::sort(rooms.begin(), rooms.end());
-    rooms.resize(job.pending);
-    m_reservation = reservation{job.spec.id, {}, rooms.back().first};
-    for (const auto& [at, slot] : rooms)
+    std::sort(fit_slots.begin(), fit_slots.end());
+    fit_slots.resize(job.pending);
+    m_reservation = reservation{job.spec.id, {}, fit_slots.back().first};
+    for (const auto& [at, slot] : fit_slots)
     {
         if (!m_pool.at(slot).set_aside)
         {
--- a/src/policy/scheduler_preempt.cpp
+++ b/src/policy/scheduler_preempt.cpp
@@ -43,19 +43,19 @@
     {
         return false;
     }
-    const auto tried = m_preempting.find(job.spec.id);
-    if (tried != m_preempting.end() && p.now < tried->second.next_try)
+    const auto last_attempt = m_preempting.find(job.spec.id);
+    if (last_attempt != m_preempting.end() && p.now < last_attempt->second.next_try)
     {
-        return tried->second.found;
+        return last_attempt->second.found;
     }
-    const bool may_wait = job.spec.values.urgency < urgent;
-    if (p.preemption_tries >= tries_per_plan || (may_wait && p.now < m_next_reclaim))
+    const bool reclaiming = job.spec.values.urgency < urgent;
+    if (p.preemption_tries >= tries_per_plan || (reclaiming && p.now < m_next_reclaim))
     {
         return false;
     }
     ++p.preemption_tries;
     const bool found = find_victims(job, p);
-    m_next_reclaim = may_wait && !found ? p.now + reclaim_pause : m_next_reclaim;
+    m_next_reclaim = reclaiming && !found ? p.now + reclaim_pause : m_next_reclaim;
     m_preempting[job.spec.id] = {p.now + preemption_pause, found};
     return found;
 }
@@ -70,9 +70,9 @@
         std::optional<victim_set> best;
         host_slot best_slot = 0;
         const host_slot first = m_random() % m_pool.size();
-        const std::size_t looks = std::min(hosts_per_preemption, m_pool.size());
-        m_pool.count_looks(looks);
-        for (std::size_t i = 0; i < looks; ++i)
+        const std::size_t hosts_to_examine = std::min(hosts_per_preemption, m_pool.size());
+        m_pool.count_looks(hosts_to_examine);
+        for (std::size_t i = 0; i < hosts_to_examine; ++i)
         {
             const host_slot slot = (first + i) % m_pool.size();
             std::optional<victim_set> found = taken.contains(slot) ? std::nullopt : victims_on(slot, job, p);
--- a/src/policy/usage_guard.cpp
+++ b/src/policy/usage_guard.cpp
@@ -11,13 +11,13 @@
 }
 } // namespace
 
-usage_verdict usage_guard::judge(const run_id& run, const resources& declared, std::int64_t cpu,
-                                 std::int64_t memory, monotonic_time now)
+usage_verdict usage_guard::evaluate(const run_id& run, const resources& declared, std::int64_t cpu,
+                                    std::int64_t memory, monotonic_time now)
 {
     if (!over(cpu, declared.cpu) && !over(memory, declared.memory))
     {
         m_histories.erase(run.task);
-        return usage_verdict::fine;
+        return usage_verdict::none;
     }
     history& h = m_histories[run.task];
     if (h.run != run.run || h.reports_over == 0)
@@ -29,7 +29,7 @@
     {
         return usage_verdict::stop;
     }
-    return h.reports_over >= throttle_after ? usage_verdict::throttle : usage_verdict::fine;
+    return h.reports_over >= throttle_after ? usage_verdict::throttle : usage_verdict::none;
 }
 
 void usage_guard::forget(const task_id& task)
--- a/src/workload/crash_ledger.cpp
+++ b/src/workload/crash_ledger.cpp
@@ -92,7 +92,7 @@
     }
     against.charged.push_back(lost.run.run);
     ++(lost.began ? against.crashes : against.unclear);
-    against.blame += lost.began ? std::max(lost.blame, blame::least) : 0;
+    against.blame += lost.began ? std::max(lost.blame, blame::min_share) : 0;
     if (!lost.began || !against.convicts())
     {
         return false;
--- a/src/workload/workload_indexes.cpp
+++ b/src/workload/workload_indexes.cpp
@@ -30,7 +30,7 @@
     }
     else
     {
-        m_over.push_back(owner.id); // the caller may still use its details
+        m_ended_by_command.push_back(owner.id); // the caller may still use its details
     }
     m_ready.erase(m_ready.lower_bound(step_ref{owner.id, round_id{0}, 0}),
                   m_ready.upper_bound(step_ref{owner.id, round_id{UINT32_MAX}, UINT32_MAX}));
@@ -137,7 +137,7 @@
 
 std::string workload_state::save() const
 {
-    image out;
+    snapshot_content out;
     out.held = m_catalogue;
     out.next_worker = m_next_worker;
     out.former = m_former;
@@ -161,12 +161,12 @@
 
 bool workload_state::load(const std::string& bytes)
 {
-    auto decoded = decode<image>(bytes);
+    auto decoded = decode<snapshot_content>(bytes);
     if (!ok(decoded))
     {
         return false;
     }
-    image& in = value_of(decoded);
+    snapshot_content& in = value_of(decoded);
     m_catalogue = std::move(in.held);
     m_next_worker = in.next_worker;
     m_former = std::move(in.former);
--- a/src/workload/workload_lives.cpp
+++ b/src/workload/workload_lives.cpp
@@ -40,7 +40,7 @@
     const worker_life_id former = before == m_by_host.end() ? worker_life_id{} : before->second;
     if (former != worker_life_id{} && m_workers[former].facts.id == life.id)
     {
-        carry_over(at, command, former);
+        transfer_runs(at, command, former);
     }
     else
     {
@@ -49,7 +49,7 @@
             for (const auto& [run, room] :
                  m_workers[former].leaving ? std::map<run_ref, resources>{} : m_workers[former].occupied)
             {
-                crashed.push_back({run, false, blame::least, {}, false});
+                crashed.push_back({run, false, blame::min_share, {}, false});
             }
             retire(m_workers[former].facts.life());
             drop(at, former, {});
@@ -81,7 +81,7 @@
 // The new incarnation may have executed an order that was meant for the former one with the same id. A task
 // that is restarted elsewhere immediately could then run twice, so each run stays assigned to this worker
 // until the new incarnation is known not to have it.
-void workload_state::carry_over(wall_ms at, const admit_worker& command, worker_life_id former)
+void workload_state::transfer_runs(wall_ms at, const admit_worker& command, worker_life_id former)
 {
     const worker_life before = m_workers[former];
     retire(before.facts.life());
--- a/src/workload/workload_runs.cpp
+++ b/src/workload/workload_runs.cpp
@@ -118,7 +118,7 @@
     owner.rounds = {};
 }
 
-void workload_state::take_end(wall_ms at, worker_life& worker, const observed_end& end)
+void workload_state::apply_end(wall_ms at, worker_life& worker, const observed_end& end)
 {
     const auto how = static_cast<run_end>(end.how);
     const bool known = worker.occupied.contains(end.run);
@@ -250,8 +250,8 @@
     const auto occupied = found->second.occupied;
     for (const auto& [run, room] : occupied)
     {
-        take_end(at, found->second,
-                 observed_end{run, static_cast<std::uint8_t>(run_end::lapsed), checkpoints[run]});
+        apply_end(at, found->second,
+                  observed_end{run, static_cast<std::uint8_t>(run_end::lapsed), checkpoints[run]});
     }
     m_by_life.erase(found->second.facts.life());
     const auto by_host = m_by_host.find(found->second.facts.host);
--- a/src/workload/workload_state.cpp
+++ b/src/workload/workload_state.cpp
@@ -151,7 +151,7 @@
     return found == m_queued.end() ? 0 : found->second;
 }
 
-bool workload_state::wants(const run_ref& run) const
+bool workload_state::needs_run(const run_ref& run) const
 {
     const submission* owner = find(run.task.step.submission);
     const work_task* task = find(run.task);
@@ -171,7 +171,7 @@
             return handle(at, body);
         },
         command);
-    for (const submission_id id : std::exchange(m_over, {}))
+    for (const submission_id id : std::exchange(m_ended_by_command, {}))
     {
         const auto found = m_submissions.find(id);
         if (found != m_submissions.end())
@@ -289,7 +289,7 @@
     }
     for (const observed_end& end : command.ends)
     {
-        take_end(at, found->second, end);
+        apply_end(at, found->second, end);
     }
     found->second.listed_up_to = std::max(found->second.listed_up_to, command.listed_up_to);
     return {};
--- a/tests/src/hall_fixture.hpp
+++ b/tests/src/hall_fixture.hpp
@@ -115,7 +115,7 @@
     {
         return m_state.apply(m_now, command);
     }
-    void pass(wall_ms span)
+    void advance_time(wall_ms span)
     {
         m_now += span;
     }
--- a/tests/src/unit-crash-ledger.cpp
+++ b/tests/src/unit-crash-ledger.cpp
@@ -57,7 +57,7 @@
         return state.find_host("host")->id;
     }
     // Starts the task on the host and loses the host.
-    void lose(bool for_good, std::uint32_t share, bool began = true)
+    void lose_host(bool for_good, std::uint32_t share, bool began = true)
     {
         state.apply(noon, record_starts{{planned_start{task(), ++runs, present()}}});
         state.apply(noon, drop_worker{present(), for_good, {{run_ref{task(), runs}, began, share, {}}}});
@@ -71,10 +71,10 @@
 
 BOOST_FIXTURE_TEST_CASE(two_crashes_with_nothing_beside_are_enough, fixture)
 {
-    lose(true, blame::sole);
+    lose_host(true, blame::sole);
     BOOST_TEST((phase() == submission_phase::running));
     admit();
-    lose(true, blame::sole);
+    lose_host(true, blame::sole);
     BOOST_TEST((phase() == submission_phase::failed));
     BOOST_REQUIRE(state.crashes().verdicts().size() == 1U);
     BOOST_TEST(state.crashes().verdicts().front().against.crashes == 2U);
@@ -86,7 +86,7 @@
     for (int crash = 1; crash <= 5; ++crash)
     {
         BOOST_TEST((phase() == submission_phase::failed) == false);
-        lose(true, 0); // raised to the minimum share
+        lose_host(true, 0); // raised to the minimum share
         admit();
     }
     BOOST_TEST((phase() == submission_phase::failed));
@@ -94,11 +94,11 @@
 
 BOOST_FIXTURE_TEST_CASE(one_crash_and_orders_that_may_never_have_begun_are_not_enough, fixture)
 {
-    lose(true, blame::sole);
+    lose_host(true, blame::sole);
     for (int unclear = 0; unclear < 3; ++unclear)
     {
         admit();
-        lose(true, blame::least, false);
+        lose_host(true, blame::min_share, false);
     }
     BOOST_TEST((phase() == submission_phase::running));
 }
@@ -107,11 +107,11 @@
 // were already down.
 BOOST_FIXTURE_TEST_CASE(runs_that_may_never_have_begun_convict_nobody, fixture)
 {
-    lose(true, blame::sole);
+    lose_host(true, blame::sole);
     for (std::uint32_t unclear = 1; unclear <= 8; ++unclear)
     {
         admit();
-        lose(true, blame::sole, false);
+        lose_host(true, blame::sole, false);
         BOOST_TEST((phase() == submission_phase::running));
         BOOST_TEST(state.crashes().find(task())->unclear == unclear);
     }
@@ -123,24 +123,24 @@
 {
     crash_ledger ledger;
     const lost_run newer{run_ref{fixture::task(), 2}, true, blame::sole, {}, false};
-    const lost_run older{run_ref{fixture::task(), 1}, true, blame::least, {}, false};
+    const lost_run older{run_ref{fixture::task(), 1}, true, blame::min_share, {}, false};
     BOOST_TEST(!ledger.accuse(newer, "host"));
     BOOST_TEST(!ledger.accuse(newer, "host"));
     BOOST_TEST(ledger.find(fixture::task())->crashes == 1U);
     BOOST_TEST(!ledger.accuse(older, "other")); // confirmed after the newer run
     BOOST_TEST(ledger.find(fixture::task())->crashes == 2U);
-    BOOST_TEST(ledger.find(fixture::task())->blame == blame::sole + blame::least);
+    BOOST_TEST(ledger.find(fixture::task())->blame == blame::sole + blame::min_share);
 }
 
 // The other submission may have caused the crashes.
 BOOST_FIXTURE_TEST_CASE(two_crashes_are_not_enough_where_another_submission_had_begun_beside, fixture)
 {
-    lose(true, blame::sole);
+    lose_host(true, blame::sole);
     admit();
-    lose(true, blame::shared);
+    lose_host(true, blame::one_of_two_submissions);
     BOOST_TEST((phase() == submission_phase::running));
     admit();
-    lose(true, blame::least);
+    lose_host(true, blame::min_share);
     BOOST_TEST((phase() == submission_phase::failed));
 }
 
@@ -152,7 +152,7 @@
     const submission_id other{2};
     for (int loss = 1; loss <= 3; ++loss)
     {
-        lose(true, blame::least);
+        lose_host(true, blame::min_share);
         admit();
         state.apply(noon, record_starts{{planned_start{task(), ++runs, present()}}});
         watch.find_isolated(state);
@@ -180,13 +180,13 @@
 
 BOOST_FIXTURE_TEST_CASE(a_host_that_is_unheard_proves_nothing_until_another_life_answers, fixture)
 {
-    lose(false, blame::sole);
+    lose_host(false, blame::sole);
     BOOST_TEST(state.crashes().find(task())->unproven == 1U);
     BOOST_TEST(state.crashes().find(task())->blame == 0U);
     --lives;
     admit(); // the same incarnation: it was partitioned
     BOOST_TEST(state.crashes().find(task()) == nullptr);
-    lose(false, blame::sole);
+    lose_host(false, blame::sole);
     admit();
     BOOST_TEST(state.crashes().find(task())->unproven == 0U);
     BOOST_TEST(state.crashes().find(task())->crashes == 1U);
@@ -201,13 +201,13 @@
     admit();
     state.apply(noon, begin_wave{1, {"host"}, 60, 1});
     state.apply(noon, advance_upkeep{1, "host", static_cast<std::uint8_t>(upkeep_phase::under_way)});
-    lose(true, blame::sole);
+    lose_host(true, blame::sole);
     BOOST_TEST(state.crashes().find(task()) == nullptr);
 }
 
 BOOST_FIXTURE_TEST_CASE(a_task_that_completes_is_cleared, fixture)
 {
-    lose(true, blame::sole);
+    lose_host(true, blame::sole);
     admit();
     state.apply(noon, record_starts{{planned_start{task(), ++runs, present()}}});
     const observed_end done{run_ref{task(), runs}, static_cast<std::uint8_t>(run_end::completed), {}};
@@ -218,7 +218,7 @@
 
 BOOST_FIXTURE_TEST_CASE(suspicion_outlives_a_snapshot_and_an_older_snapshot_still_loads, fixture)
 {
-    lose(true, blame::sole);
+    lose_host(true, blame::sole);
     admit();
     const std::string bytes = state.save();
     workload_state copy;
--- a/tests/src/unit-hall.cpp
+++ b/tests/src/unit-hall.cpp
@@ -294,7 +294,7 @@
             }
             hall.plan();
             stale = place_tasks{hall.last().placements};
-            hall.pass(1000);
+            hall.advance_time(1000);
             BOOST_TEST_CONTEXT("seed " << seed << " step " << i)
             {
                 BOOST_REQUIRE_EQUAL(hall.state().check(), "");
--- a/tests/src/unit-scheduler.cpp
+++ b/tests/src/unit-scheduler.cpp
@@ -149,7 +149,7 @@
         {
             hall.report(order.run, run_event::checkpointed);
         }
-        hall.pass(20'000);
+        hall.advance_time(20'000);
     }
     BOOST_TEST(hall.running_in(loser) == 2U);
     BOOST_TEST(hall.running_in(winner.id) == 2U);
@@ -176,7 +176,7 @@
     const job_id late = hall.submit(hall.make_job(workload_kind::batch, 2, whole, 2));
     hall.plan();
     BOOST_TEST(hall.last().stops.empty());
-    hall.pass(360'000);
+    hall.advance_time(360'000);
     hall.plan();
     BOOST_TEST(hall.last().stops.size() == 2U);
     BOOST_TEST((hall.scheduler().reason_of(late) == wait_reason::preempting));
@@ -212,7 +212,7 @@
     job_spec old = hall.make_job(workload_kind::batch, 1, whole);
     old.values.urgency = 0;
     hall.submit(old);
-    hall.pass(3 * 300'000);
+    hall.advance_time(3 * 300'000);
     hall.submit(hall.make_job(workload_kind::batch, 1, whole));
     hall.plan_all();
     BOOST_TEST(hall.running_in(old.id) == 1U);
--- a/tests/src/unit-workload.cpp
+++ b/tests/src/unit-workload.cpp
@@ -236,7 +236,7 @@
     start(task(1, 0, 0), 2, second);
     end(task(1, 0, 0), 1, second, run_end::completed);
     BOOST_TEST((phase(1) == submission_phase::running));
-    BOOST_TEST(state.wants(run_ref{task(1, 0, 0), 2}));
+    BOOST_TEST(state.needs_run(run_ref{task(1, 0, 0), 2}));
     start(task(1, 0, 0), 2, second);
     BOOST_TEST(state.find(second)->used.cpu == 1000);
 }
