--- a/bench/bench_leader.cpp
+++ b/bench/bench_leader.cpp
@@ -102,7 +102,7 @@
     {
         return std::chrono::duration_cast<milliseconds>(monotonic_now().time_since_epoch()).count();
     }
-    static web_answer say(const json& body)
+    static web_answer make_json_answer(const json& body)
     {
         web_answer out;
         out.status = 200;
@@ -122,7 +122,7 @@
         {
             start(at, body);
         }
-        answer(say({{"clock-ms", clock_ms()}}));
+        answer(make_json_answer({{"clock-ms", clock_ms()}}));
     }
     void start(worker& at, const json& body)
     {
@@ -134,7 +134,7 @@
            {
                at.running.erase(task);
                at.ended.push_back(json::array({at.next_end++, task, run, "done", ""}));
-               tell(at);
+               send_poll_answer(at);
            });
     }
     void look(worker& at, const json& body, const std::function<void(web_answer)>& answer)
@@ -149,7 +149,7 @@
         const std::uint64_t number = ++at.look;
         if (!at.ended.empty() || !body.contains("wait-ms"))
         {
-            tell(at);
+            send_poll_answer(at);
             return;
         }
         in(milliseconds(body["wait-ms"].get<std::int64_t>()),
@@ -157,11 +157,11 @@
            {
                if (at.look == number)
                {
-                   tell(at);
+                   send_poll_answer(at);
                }
            });
     }
-    void tell(worker& at)
+    void send_poll_answer(worker& at)
     {
         if (!at.waiting)
         {
@@ -173,7 +173,7 @@
             running.push_back(row);
         }
         const auto answer = std::exchange(at.waiting, nullptr);
-        answer(say({{"clock-ms", clock_ms()}, {"running", running}, {"finished", at.ended}}));
+        answer(make_json_answer({{"clock-ms", clock_ms()}, {"running", running}, {"finished", at.ended}}));
     }
     void in(milliseconds after, const std::function<void()>& then)
     {
--- a/include/walkthread/dispatch/candidate.hpp
+++ b/include/walkthread/dispatch/candidate.hpp
@@ -26,7 +26,7 @@
     const step_spec* step{};
     const queue_spec* queue{};
     pool_number pool{};
-    outlook chance{};
+    outlook expected_timeliness{};
     double slack_ms{};
     double run_ms = std::numeric_limits<double>::infinity(); ///< expected, for one task
     bool reserved{};                                         ///< a gang that has a reservation
@@ -37,7 +37,7 @@
     std::map<worker_life_id, std::uint32_t> placed;
     [[nodiscard]] bool missed() const
     {
-        return chance >= outlook::late;
+        return expected_timeliness >= outlook::late;
     }
     [[nodiscard]] bool urgent() const
     {
@@ -64,7 +64,7 @@
     bool first{};        ///< a reservation of the gang that has waited longest in its pool
     /// Of a reservation: when all capacity is expected to be free, by the latest forecast.
     monotonic_time due{};
-    monotonic_time promised{}; ///< the earliest forecast of `due`: others may backfill until then only
+    monotonic_time earliest_due{}; ///< the earliest forecast of `due`: others may backfill until then only
 };
 
 /// @brief A worker that may take tasks of a step.
@@ -74,7 +74,7 @@
     resources room{};      ///< currently free
     std::uint32_t slots{}; ///< tasks of the step that fit now
     std::uint32_t whole{}; ///< tasks that would fit on the empty host
-    bool near{};           ///< in the rack that holds the data
+    bool near_data{};      ///< in the rack that holds the data
     bool held{};           ///< the capacity is held for a gang, this one or another
     bool keeps_large{};    ///< a task there takes no capacity from gangs
     double speed{};        ///< learned, 1 is typical
--- a/include/walkthread/dispatch/dispatcher.hpp
+++ b/include/walkthread/dispatch/dispatcher.hpp
@@ -236,7 +236,7 @@
     void look_at_all(monotonic_time now);
     void look_at(worker_view& view, monotonic_time now);
     [[nodiscard]] bool may_rest(const worker_view& view) const;
-    void rest(worker_view& view, monotonic_time now) const;
+    void poll_rarely(worker_view& view, monotonic_time now) const;
     [[nodiscard]] duration longest_quiet() const;
     void ask_a_resting_worker(monotonic_time now);
     static void end_rest(worker_view& view, monotonic_time now);
--- a/include/walkthread/dispatch/gang_reservations.hpp
+++ b/include/walkthread/dispatch/gang_reservations.hpp
@@ -66,7 +66,7 @@
     reservation_review(const reservation_settings& settings, const resources& room, const resources& in_use);
 
     /// @brief Whether a gang has waited long enough for a reservation.
-    [[nodiscard]] bool overdue(duration waited) const;
+    [[nodiscard]] bool has_waited_enough(duration waited) const;
     /// @brief Whether one more gang may get a reservation. The first one always may.
     /// @param wanted resources of all of its tasks
     /// @param late it can't be on time any more
--- a/include/walkthread/dispatch/gathering.hpp
+++ b/include/walkthread/dispatch/gathering.hpp
@@ -19,8 +19,8 @@
 /// @brief Limits on gangs that gather.
 struct gathering_bounds
 {
-    std::size_t few = 2; ///< this many may gather in any pool, however small
-    double share = 0.1;  ///< maximum share of the pool's capacity that more gangs may want together
+    std::size_t min_gangs = 2; ///< this many may gather in any pool, however small
+    double share = 0.1;        ///< maximum share of the pool's capacity that more gangs may want together
 };
 
 /// @brief Gangs that gather and don't have enough yet.
@@ -36,7 +36,7 @@
 [[nodiscard]] inline bool may_join_gathering(const gathering_work& others, const resources& own,
                                              const resources& pool, const gathering_bounds& bounds)
 {
-    return others.gangs < bounds.few || dominant_share(others.wanted + own, pool) <= bounds.share;
+    return others.gangs < bounds.min_gangs || dominant_share(others.wanted + own, pool) <= bounds.share;
 }
 
 } // namespace walkthread
--- a/include/walkthread/dispatch/host_table.hpp
+++ b/include/walkthread/dispatch/host_table.hpp
@@ -69,7 +69,7 @@
     [[nodiscard]] resources room_of(pool_number pool) const;
 
     /// @brief Marks a host's row as outdated.
-    void touch(worker_life_id worker);
+    void invalidate(worker_life_id worker);
     /// @brief Holds capacity on a host; `release` frees it.
     void hold(worker_life_id worker, const resources& room);
     void release(worker_life_id worker, const resources& room);
--- a/include/walkthread/dispatch/keep_reason.hpp
+++ b/include/walkthread/dispatch/keep_reason.hpp
@@ -21,7 +21,7 @@
     none,           ///< nothing: the worker is dropped
     heard,          ///< it answered recently
     drop_under_way, ///< the command that drops it waits for its commit
-    untold,         ///< no poll that reached the network has failed since its last answer
+    no_failed_poll, ///< no poll that reached the network has failed since its last answer
     lease_may_hold, ///< its lease may be valid, or had not expired when the last failed poll was sent
     nobody_heard,   ///< no other worker answers: the leader may be isolated
 };
--- a/include/walkthread/dispatch/objective.hpp
+++ b/include/walkthread/dispatch/objective.hpp
@@ -39,7 +39,7 @@
 /// @brief Expected times along the longest dependency chains of a submission, in milliseconds.
 struct chain_times
 {
-    double longest_ms{};   ///< of the longest chain
+    double total_ms{};     ///< of the longest chain
     double remaining_ms{}; ///< from the start of one step to the end of the longest chain that begins with it
 };
 
@@ -56,7 +56,7 @@
     /// @brief Records a completed run.
     void note_run(const std::string& queue, std::int64_t estimate_ms, std::int64_t took_ms);
     /// @brief Error of the estimates of a queue: the relative variance of observed against expected times.
-    [[nodiscard]] double spread(const std::string& queue) const;
+    [[nodiscard]] double relative_variance(const std::string& queue) const;
     /// @brief The expected run time of one task of a step, in milliseconds.
     [[nodiscard]] double expected_ms(const std::string& queue, const step_spec& step) const;
     /// @brief Expected times along a submission's longest dependency chains. Complexity: linear in the
@@ -70,7 +70,7 @@
         double ratio = 1.0; ///< mean of observed to estimated times
         /// Relative variance of `ratio`; the initial value is within the range of the known workloads, 0.05
         /// to 0.8.
-        double spread = 0.3;
+        double relative_variance = 0.3;
     };
     std::map<std::string, estimate_record> m_records;
 };
--- a/include/walkthread/dispatch/orders.hpp
+++ b/include/walkthread/dispatch/orders.hpp
@@ -87,8 +87,8 @@
     worker_address to;
     std::optional<std::int64_t> until_ms; ///< on the worker's clock
     std::uint64_t last_seen{};            ///< ends up to this number may be discarded by the worker
-    std::int64_t wait_ms{};  ///< long poll: the answer may be delayed for that long until a run ends
-    milliseconds patience{}; ///< after `wait_ms`, until the poll times out
+    std::int64_t wait_ms{}; ///< long poll: the answer may be delayed for that long until a run ends
+    milliseconds timeout{}; ///< after `wait_ms`, until the poll times out
 };
 
 /// @brief The answer to a start, stop or pace order.
@@ -131,8 +131,8 @@
 struct advice_question
 {
     step_ref step{};
-    std::vector<std::string> lives;
-    MSGPACK_DEFINE(step, lives)
+    std::vector<std::string> incarnations;
+    MSGPACK_DEFINE(step, incarnations)
 };
 
 /// @brief A worker that may run the step, with the ticket that proves it.
--- a/include/walkthread/dispatch/suspect_watch.hpp
+++ b/include/walkthread/dispatch/suspect_watch.hpp
@@ -25,7 +25,8 @@
   public:
     /// @param watch_period how long a host is watched after the start of a suspect; a suspect that has not
     /// crashed its host by then is treated like other work
-    suspect_watch(const crash_ledger& crashes, duration lasts) : m_crashes(crashes), m_lasts(lasts)
+    suspect_watch(const crash_ledger& crashes, duration watch_period)
+        : m_crashes(crashes), m_lasts(watch_period)
     {
     }
 
@@ -42,7 +43,7 @@
     /// @brief Whether a task is in back-off until it is known whether its last hosts crashed or were
     /// partitioned. This begins with the third loss and takes longer after each further one. Complexity:
     /// logarithmic in the suspects.
-    [[nodiscard]] bool rests(const task_ref& task, monotonic_time now) const;
+    [[nodiscard]] bool in_backoff(const task_ref& task, monotonic_time now) const;
     /// @brief Whether a suspect of another submission than `owner` was started on the host recently, or runs
     /// there alone.
     [[nodiscard]] bool watches(worker_life_id worker, submission_id owner, monotonic_time now) const;
--- a/include/walkthread/dispatch/worker_contact.hpp
+++ b/include/walkthread/dispatch/worker_contact.hpp
@@ -69,7 +69,7 @@
         }
     }
     /// @brief Polls it rarely: not before `until`. That time does not count as time without contact.
-    void rest(monotonic_time until)
+    void poll_rarely(monotonic_time until)
     {
         m_rests_until = until;
     }
@@ -79,11 +79,11 @@
         m_rests_until = std::min(m_rests_until, now);
     }
 
-    [[nodiscard]] bool rests(monotonic_time now) const
+    [[nodiscard]] bool polled_rarely(monotonic_time now) const
     {
         return m_rests_until > now;
     }
-    [[nodiscard]] monotonic_time heard() const
+    [[nodiscard]] monotonic_time last_heard() const
     {
         return m_heard;
     }
--- a/include/walkthread/dispatch/worker_view.hpp
+++ b/include/walkthread/dispatch/worker_view.hpp
@@ -114,13 +114,13 @@
 /// @brief A run as the leader sees it; the replicated state says that it may exist.
 struct run_view
 {
-    monotonic_time sent{};                 ///< time of the last order to start it
-    std::optional<monotonic_time> settled; ///< when the worker gave a definite answer about it
+    monotonic_time sent{};                          ///< time of the last order to start it
+    std::optional<monotonic_time> outcome_known_at; ///< when the worker gave a definite answer about it
     bool order_in_flight{};
-    int tries{};  ///< orders to start that left this process
-    int unsent{}; ///< orders to start that did not leave this process
+    int tries{};           ///< orders to start that left this process
+    int unsent_attempts{}; ///< orders to start that did not leave this process
     /// The command that records that it never began waits for its commit: no more orders are sent for it.
-    bool ending{};
+    bool never_began_pending{};
     bool stopping{};
     bool stop_in_flight{};
     monotonic_time stop_retry{};
@@ -131,9 +131,10 @@
     std::string checkpoint;
     std::int32_t pace = 100; ///< the percentage of full speed that it was told to run at
     bool pace_in_flight{};
-    bool carried{}; ///< its order was for a former incarnation with the same id, and may still reach this one
-    bool listed{};  ///< in the last poll answer
-    bool inherited{}; ///< started by an earlier leader
+    bool carried_over{}; ///< its order was for a former incarnation with the same id, and may still reach
+                         ///< this one
+    bool listed{};       ///< in the last poll answer
+    bool inherited{};    ///< started by an earlier leader
 };
 
 /// @brief A worker's incarnation as the leader sees it.
@@ -152,8 +153,8 @@
     bool look_in_flight{};
     monotonic_time look_sent{};
     monotonic_time look_due{};
-    bool recording{}; ///< ends of runs wait for their commit, and the next poll waits for that
-    bool gone{};      ///< a command that drops it is proposed
+    bool ends_commit_pending{}; ///< ends of runs wait for their commit, and the next poll waits for that
+    bool drop_proposed{};       ///< a command that drops it is proposed
     /// A command that records the last state of its runs, or that it answers again, waits for its commit.
     bool last_word_pending{};
     bool draining{};
@@ -165,8 +166,8 @@
     std::uint32_t serving{}; ///< tasks with a latency target in the last poll answer
     /// Filling tasks (best-effort tasks that use spare capacity) in the last poll answer.
     std::uint32_t filling{};
-    std::optional<monotonic_time> over_since; ///< a tail latency has been over its target since then
-    std::int32_t filler_pace = 100;           ///< percentage of full speed for filling tasks
+    std::optional<monotonic_time> over_target_since; ///< a tail latency has been over its target since then
+    std::int32_t filler_pace = 100;                  ///< percentage of full speed for filling tasks
     monotonic_time pace_changed{};
     double speed = 1.0;       ///< learned from run times relative to the expected ones
     resources planned{};      ///< resources of starts that wait for their commit
@@ -190,7 +191,7 @@
     /// logarithmic in the number of such gangs.
     [[nodiscard]] bool broke_with_gang(const run_ref& run) const;
     /// @brief Returns the lease end to request, on the worker's clock, and records it as granted.
-    std::int64_t grant(monotonic_time now, milliseconds lease);
+    std::int64_t grant_lease(monotonic_time now, milliseconds lease);
     /// @brief Takes over the runs that a former incarnation with the same id was told to start: orders for
     /// that incarnation may have reached this one, or may still do so.
     /// @param settings define for how long
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -20,9 +20,9 @@
 // Percent: pace of filling tasks that an earlier leader started, until tail latencies are known.
 constexpr std::int32_t inherited_pace = 25;
 // Ranks 0 to 2 are long-running work, urgent work and gangs with a reservation.
-constexpr int rank_of(outlook chance)
+constexpr int rank_of(outlook expected_timeliness)
 {
-    return 3 + static_cast<int>(chance);
+    return 3 + static_cast<int>(expected_timeliness);
 }
 constexpr duration idle_pass = milliseconds(100); // checks leases, retries and due times
 } // namespace
@@ -123,7 +123,7 @@
         known.sent = now;
         known.progressed = now;
         known.inherited = former == m_views.end();
-        known.carried = !known.inherited;
+        known.carried_over = !known.inherited;
         // An earlier leader may have throttled it: keep it low until tail latencies on the host are known.
         const step_spec* step = m_state.find(run.task.step);
         view.filler_pace = step != nullptr && step->fills ? inherited_pace : view.filler_pace;
@@ -226,7 +226,7 @@
     item.slack_ms = objective - age - chain.remaining_ms;
     item.run_ms = m_objectives.expected_ms(item.owner->queue, *item.step);
     item.reserved = has_reservation(item.ref);
-    item.chance = judge_outlook(item.slack_ms, objective, m_settings.outlooks);
+    item.expected_timeliness = judge_outlook(item.slack_ms, objective, m_settings.outlooks);
     return true;
 }
 
@@ -246,7 +246,7 @@
     {
         return 1;
     }
-    return item.reserved ? 2 : rank_of(item.chance);
+    return item.reserved ? 2 : rank_of(item.expected_timeliness);
 }
 
 // A step that may be started, without slack and timeliness.
@@ -383,7 +383,7 @@
     for (const planned_start& planned : starts)
     {
         m_views[planned.worker].planned += room;
-        m_hosts.touch(planned.worker);
+        m_hosts.invalidate(planned.worker);
         m_planned[planned.task] = planned.worker;
         if (m_suspects.suspects(planned.task))
         {
--- a/src/dispatch/dispatcher_advice.cpp
+++ b/src/dispatch/dispatcher_advice.cpp
@@ -197,7 +197,7 @@
     question.step = item.ref;
     for (const worker_life_id worker : workers)
     {
-        question.lives.push_back(m_state.find(worker)->facts.id);
+        question.incarnations.push_back(m_state.find(worker)->facts.id);
     }
     ++m_advice.of(item.ref).open_questions;
     ++m_counters.questions;
--- a/src/dispatch/dispatcher_gang_room.cpp
+++ b/src/dispatch/dispatcher_gang_room.cpp
@@ -85,7 +85,7 @@
             review = reviews.emplace(item.pool, begin_review(item.pool)).first;
         }
         item.permitted = permitted_tasks(item);
-        if (!review->second.overdue(now - m_gang_since.at(item.ref)) || item.permitted == 0 ||
+        if (!review->second.has_waited_enough(now - m_gang_since.at(item.ref)) || item.permitted == 0 ||
             has_suspect_at_rest(item, now))
         {
             continue;
@@ -133,7 +133,7 @@
     {
         const auto there = hold.tasks.find(o.worker->id);
         if (there != hold.tasks.end() &&
-            !may_backfill(item.run_ms, hold.promised, now, m_settings.reservations))
+            !may_backfill(item.run_ms, hold.earliest_due, now, m_settings.reservations))
         {
             open -= hold.each * there->second;
         }
@@ -192,11 +192,12 @@
     out.ahead = true;
     out.due =
         now + std::chrono::duration_cast<duration>(std::chrono::duration<double, std::milli>(found.ready_ms));
-    out.promised = out.due;
+    out.earliest_due = out.due;
     const auto before = m_holds.find(item.ref);
     if (before != m_holds.end() && before->second.ahead)
     {
-        out.promised = std::min(out.promised, before->second.promised); // others were backfilled until then
+        out.earliest_due =
+            std::min(out.earliest_due, before->second.earliest_due); // others were backfilled until then
         return out;
     }
     log_event(now, "gang_reserved", name_of(item.ref),
@@ -269,7 +270,7 @@
         const bool counts = !passed && !(ref == item.ref) && hold != m_holds.end() && hold->second.ahead &&
                             hold->second.tasks.contains(host);
         if (counts &&
-            may_backfill(item.run_ms, hold->second.promised, now, m_settings.reservations) == meantime)
+            may_backfill(item.run_ms, hold->second.earliest_due, now, m_settings.reservations) == meantime)
         {
             sum += hold->second.each * hold->second.tasks.at(host);
         }
--- a/src/dispatch/dispatcher_gangs.cpp
+++ b/src/dispatch/dispatcher_gangs.cpp
@@ -59,7 +59,7 @@
     for (std::uint32_t i = 0; i < item.step->count && !m_state.crashes().suspects().empty(); ++i)
     {
         const task_ref member{item.ref, i};
-        if (m_suspects.suspects(member) && m_suspects.rests(member, now))
+        if (m_suspects.suspects(member) && m_suspects.in_backoff(member, now))
         {
             return true;
         }
--- a/src/dispatch/dispatcher_losses.cpp
+++ b/src/dispatch/dispatcher_losses.cpp
@@ -116,15 +116,15 @@
 {
     const worker_life* life = m_state.find(worker);
     const auto view = m_views.find(worker);
-    if (life == nullptr || view == m_views.end() || view->second.gone)
+    if (life == nullptr || view == m_views.end() || view->second.drop_proposed)
     {
         return false;
     }
     const auto known = view->second.runs.find(run);
     const bool follows = life->follows != worker_life_id{};
-    const bool of_former =
-        known != view->second.runs.end() && (known->second.carried || (known->second.inherited && follows));
-    return !of_former && view->second.contact.heard() >= then;
+    const bool of_former = known != view->second.runs.end() &&
+                           (known->second.carried_over || (known->second.inherited && follows));
+    return !of_former && view->second.contact.last_heard() >= then;
 }
 
 // Logs each run lost with a worker and the data that decides whether it becomes a crash suspect: one line per
@@ -141,8 +141,9 @@
                    {"began", item.began},
                    {"over", item.over},
                    {"inherited", known.inherited},
-                   {"sent_before_last_word_ms", view.contact.heard() - known.sent},
-                   {"ran_at_most_ms", known.settled ? lost_since(view, now) - *known.settled : duration{}},
+                   {"sent_before_last_word_ms", view.contact.last_heard() - known.sent},
+                   {"ran_at_most_ms",
+                    known.outcome_known_at ? lost_since(view, now) - *known.outcome_known_at : duration{}},
                    {"expected_ms", expected_run_time(item.run)},
                    {"beside", lost.size() - 1},
                    {"blame", item.blame},
@@ -172,11 +173,11 @@
 void dispatcher::drop_worker_life(worker_view& view, std::string_view reason, bool for_good,
                                   monotonic_time now)
 {
-    if (view.gone)
+    if (view.drop_proposed)
     {
         return;
     }
-    view.gone = true;
+    view.drop_proposed = true;
     ++m_counters.lost_workers;
     const std::vector<lost_run> lost = runs_lost_with(view, now);
     note_lost_runs(view, lost, now);
@@ -185,15 +186,16 @@
         m_suspects.note_loss(item.run.task, now);
     }
     const worker_life& worker = *m_state.find(view.id);
-    log_event(
-        now, "worker_dropped", worker.facts.id,
-        {{"reason", reason}, {"unheard_ms", now - view.contact.heard()}, {"runs", worker.occupied.size()}});
+    log_event(now, "worker_dropped", worker.facts.id,
+              {{"reason", reason},
+               {"unheard_ms", now - view.contact.last_heard()},
+               {"runs", worker.occupied.size()}});
     const auto again = [this, alive = m_alive, id = view.id](bool committed)
     {
         worker_view* later = *alive ? view_of(id) : nullptr;
         if (later != nullptr && !committed)
         {
-            later->gone = false;
+            later->drop_proposed = false;
         }
         if (*alive)
         {
--- a/src/dispatch/dispatcher_orders.cpp
+++ b/src/dispatch/dispatcher_orders.cpp
@@ -22,7 +22,7 @@
 // Since the start was planned, the worker may have begun to drain, or the submission may have been cancelled.
 bool dispatcher::may_still_start(const worker_view& view, const run_ref& run) const
 {
-    return !view.draining && !view.gone && m_state.needs_run(run);
+    return !view.draining && !view.drop_proposed && m_state.needs_run(run);
 }
 
 // Sends the committed starts. Sends none of a gang if any of its members may no longer start.
@@ -78,7 +78,7 @@
     const step_spec* step = m_state.find(run.task.step);
     const queue_spec* queue = m_state.find_queue(owner->queue);
     order.presses = (queue != nullptr && queue->priority == 0) || (step != nullptr && step->gang);
-    order.until_ms = view.grant(now, std::min(m_settings.start_window, m_settings.lease_cap));
+    order.until_ms = view.grant_lease(now, std::min(m_settings.start_window, m_settings.lease_cap));
     note_start(view, run, now);
     end_rest(view, now);
     known.sent = now;
@@ -131,7 +131,7 @@
     if (answer.outcome == order_outcome::accepted)
     {
         m_unconfirmed.confirm(run.task.step.submission);
-        known.settled = now;
+        known.outcome_known_at = now;
         known.progressed = now;
         return;
     }
@@ -168,7 +168,7 @@
     }
     if (answer.outcome == order_outcome::outdated)
     {
-        known.settled = now; // it was stopped or has ended there: the next poll tells which
+        known.outcome_known_at = now; // it was stopped or has ended there: the next poll tells which
         return;
     }
     if (known.tries == 1 && !answer.repeated && answer.outcome != order_outcome::fenced)
@@ -191,8 +191,8 @@
     const bool goes_elsewhere = outcome == order_outcome::unreachable && step != nullptr && !step->gang;
     ++m_counters.unsent_orders;
     --known.tries;
-    ++known.unsent;
-    if (known.tries > 0 || (known.unsent < m_settings.unsent_tries && !goes_elsewhere))
+    ++known.unsent_attempts;
+    if (known.tries > 0 || (known.unsent_attempts < m_settings.unsent_tries && !goes_elsewhere))
     {
         return; // retry_orders sends it again
     }
@@ -207,7 +207,7 @@
     record_ends command;
     command.worker = worker;
     command.ends.push_back({run, static_cast<std::uint8_t>(how), {}});
-    m_views[worker].runs[run].ending = true;
+    m_views[worker].runs[run].never_began_pending = true;
     m_hooks.propose(command,
                     [this, alive = m_alive, worker, run](bool committed)
                     {
@@ -221,7 +221,8 @@
                         }
                         else if (later != nullptr && later->runs.contains(run))
                         {
-                            later->runs[run].ending = false; // retry_orders proposes the end again
+                            later->runs[run].never_began_pending =
+                                false; // retry_orders proposes the end again
                         }
                     });
 }
@@ -298,7 +299,7 @@
         {
             view->runs.erase(found); // late start of a run that has already ended
         }
-        if (!view->rules_out() && !view->look_in_flight && !view->recording)
+        if (!view->rules_out() && !view->look_in_flight && !view->ends_commit_pending)
         {
             look_at(*view, now); // runs it does not list now never started there
         }
@@ -338,8 +339,8 @@
             {
                 send_stop(view, run, now);
             }
-            const bool open = !known.settled && !known.inherited && !known.carried &&
-                              !known.order_in_flight && !known.stopping && !known.ending;
+            const bool open = !known.outcome_known_at && !known.inherited && !known.carried_over &&
+                              !known.order_in_flight && !known.stopping && !known.never_began_pending;
             const bool bound = silent && known.tries > 0; // it may run there: waits for the worker's answer
             if (open && !bound && now - known.sent >= m_settings.order_retry)
             {
@@ -351,9 +352,9 @@
             const bool left = m_state.needs_run(run) && !may_still_start(view, run);
             m_counters.starts_withdrawn += left ? 1 : 0;
             const run_view& known = view.runs[run];
-            const bool sendable = known.tries > 0
-                                      ? known.tries < m_settings.start_tries
-                                      : known.unsent > 0 && known.unsent < m_settings.unsent_tries;
+            const bool sendable = known.tries > 0 ? known.tries < m_settings.start_tries
+                                                  : known.unsent_attempts > 0 &&
+                                                        known.unsent_attempts < m_settings.unsent_tries;
             const bool again_now = sendable && !silent && may_still_start(view, run);
             if (again_now)
             {
@@ -398,7 +399,8 @@
                 std::max<duration>(m_settings.stuck_after, milliseconds(static_cast<std::int64_t>(expected)));
             const bool paced = known.pace < 100; // throttled by this leader, so no progress is expected
             // Measured up to the last answer: runs of an unresponsive worker may well make progress.
-            const bool stuck = !step.lasting && !paced && view.contact.heard() - known.progressed > patience;
+            const bool stuck =
+                !step.lasting && !paced && view.contact.last_heard() - known.progressed > patience;
             if (stuck)
             {
                 view.avoid_until = std::max(view.avoid_until, now + view.next_quarantine);
--- a/src/dispatch/dispatcher_place.cpp
+++ b/src/dispatch/dispatcher_place.cpp
@@ -228,7 +228,7 @@
     constexpr milliseconds step{100};
     const auto& labels = row.worker->facts.labels;
     const auto rack = labels.empty() ? m_doubted_racks.end() : m_doubted_racks.find(labels.back());
-    const bool rack_lost = rack != m_doubted_racks.end() && rack->second > row.view->contact.heard();
+    const bool rack_lost = rack != m_doubted_racks.end() && rack->second > row.view->contact.last_heard();
     const duration unheard = row.view->contact.unheard_for(now);
     if (rack_lost || unheard > m_settings.look_wait + m_settings.look_overdue)
     {
@@ -246,8 +246,8 @@
     o.whole =
         o.room == row.worker->facts.size ? o.slots : slots(item, row.worker->id, row.worker->facts.size);
     const auto& labels = row.worker->facts.labels;
-    o.near = !item.step->preferred_rack.empty() &&
-             std::find(labels.begin(), labels.end(), item.step->preferred_rack) != labels.end();
+    o.near_data = !item.step->preferred_rack.empty() &&
+                  std::find(labels.begin(), labels.end(), item.step->preferred_rack) != labels.end();
     o.ticket = ticket_for(item, row.worker->id, now);
     o.speed = row.view->speed;
     o.slow = o.speed < m_settings.slow_below * m_usual_speed;
@@ -424,7 +424,7 @@
               {
                   const auto key = [urgent](const offer& o)
                   {
-                      return std::make_tuple(o.watched, o.doubt, o.disturbs, !o.near, o.held,
+                      return std::make_tuple(o.watched, o.doubt, o.disturbs, !o.near_data, o.held,
                                              urgent ? o.slow : !o.slow, !o.keeps_large,
                                              urgent ? -o.speed : 0.0, o.worker->id);
                   };
--- a/src/dispatch/dispatcher_reports.cpp
+++ b/src/dispatch/dispatcher_reports.cpp
@@ -140,7 +140,7 @@
 {
     look_order question;
     question.to = {worker_life_id{}, report.facts.id, report.facts.born, report.facts.address, m_fence};
-    question.patience = m_settings.look_patience;
+    question.timeout = m_settings.look_patience;
     m_hooks.look(question,
                  [this, alive = m_alive, report, present, done](const look_answer& answer)
                  {
@@ -180,7 +180,7 @@
     if (former != nullptr && present->facts.id == report.facts.id)
     {
         note_restart(*former, report.facts.born, "report", m_hooks.now());
-        former->gone = true;
+        former->drop_proposed = true;
         command.lost = lost_at_restart(*former, answer, m_hooks.now());
         note_lost_runs(*former, command.lost, m_hooks.now());
     }
@@ -201,7 +201,7 @@
                         look_at_new_life(report.facts.life(), m_hooks.now());
                         if (worker_view* still = view_of(before); still != nullptr && !committed)
                         {
-                            still->gone = false;
+                            still->drop_proposed = false;
                         }
                         const worker_life* admitted = m_state.find_life(report.facts.life());
                         if (!committed || admitted == nullptr || admitted->facts != report.facts)
--- a/src/dispatch/dispatcher_restarts.cpp
+++ b/src/dispatch/dispatcher_restarts.cpp
@@ -18,7 +18,7 @@
               {{"from", from},
                {"born", born.value()},
                {"former", worker.facts.born.value()},
-               {"unheard_ms", now - former.contact.heard()},
+               {"unheard_ms", now - former.contact.last_heard()},
                {"ends_seen", worker.listed_up_to},
                {"runs", worker.occupied.size()},
                {"leaving", worker.leaving}});
@@ -28,11 +28,11 @@
 // host, so that its runs and their ends are recorded; new work goes there once it has reported.
 void dispatcher::take_restart(worker_view& view, const look_answer& answer, monotonic_time now)
 {
-    if (view.gone)
+    if (view.drop_proposed)
     {
         return;
     }
-    view.gone = true;
+    view.drop_proposed = true;
     note_restart(view, answer.born, "look", now);
     admit_worker command{m_state.find(view.id)->facts, 0, true, lost_at_restart(view, answer, now)};
     command.facts.born = answer.born;
@@ -43,7 +43,7 @@
                         worker_view* still = *alive ? view_of(former) : nullptr;
                         if (still != nullptr && !committed)
                         {
-                            still->gone = false;
+                            still->drop_proposed = false;
                         }
                         if (*alive)
                         {
@@ -90,7 +90,8 @@
     std::vector<run_ref> open;
     for (const auto& [run, known] : view.runs)
     {
-        if (known.carried && !known.settled && !known.inherited && !known.listed && !known.stop_settled)
+        if (known.carried_over && !known.outcome_known_at && !known.inherited && !known.listed &&
+            !known.stop_settled)
         {
             open.push_back(run);
         }
--- a/src/dispatch/dispatcher_rests.cpp
+++ b/src/dispatch/dispatcher_rests.cpp
@@ -23,16 +23,17 @@
 // Unless the leader is partitioned, at least one worker answers within that time.
 duration dispatcher::longest_quiet() const
 {
-    const bool rests = m_views.size() > m_settings.look_connections;
-    return m_settings.silent_after() + (rests ? longest_rest * m_settings.idle_look_gap : milliseconds(0));
+    const bool polled_rarely = m_views.size() > m_settings.look_connections;
+    return m_settings.silent_after() +
+           (polled_rarely ? longest_rest * m_settings.idle_look_gap : milliseconds(0));
 }
 
-void dispatcher::rest(worker_view& view, monotonic_time now) const
+void dispatcher::poll_rarely(worker_view& view, monotonic_time now) const
 {
     // Spreads the polls, as all workers answer a new leader at about the same time.
     const auto spread = m_settings.idle_look_gap / 4 * (view.id.value() % 4U) / 4;
     view.look_due = now + m_settings.idle_look_gap + spread;
-    view.contact.rest(view.look_due);
+    view.contact.poll_rarely(view.look_due);
 }
 
 // Polls one idle worker, whose answer tells whether the leader is partitioned.
@@ -41,7 +42,7 @@
     const auto resting = std::find_if(m_views.begin(), m_views.end(),
                                       [now](const auto& item)
                                       {
-                                          return item.second.contact.rests(now);
+                                          return item.second.contact.polled_rarely(now);
                                       });
     if (resting != m_views.end())
     {
--- a/src/dispatch/dispatcher_sharing.cpp
+++ b/src/dispatch/dispatcher_sharing.cpp
@@ -44,7 +44,7 @@
     }
     if (view.filling == 0 || view.serving == 0)
     {
-        view.over_since.reset();
+        view.over_target_since.reset();
         view.filler_pace = full_pace;
     }
     else if (over)
@@ -53,7 +53,7 @@
     }
     else
     {
-        view.over_since.reset();
+        view.over_target_since.reset();
         if (low && now - view.pace_changed >= m_settings.pace_rise_after)
         {
             view.filler_pace = std::min(full_pace, view.filler_pace + pace_gain);
@@ -65,11 +65,11 @@
 
 void dispatcher::slow_fillers(worker_view& view, monotonic_time now)
 {
-    if (!view.over_since)
+    if (!view.over_target_since)
     {
-        view.over_since = now;
+        view.over_target_since = now;
     }
-    if (now - *view.over_since >= m_settings.harm_patience)
+    if (now - *view.over_target_since >= m_settings.harm_patience)
     {
         view.filler_pace = 0;
         view.pace_changed = now;
@@ -97,7 +97,7 @@
                   {{"worker", m_state.find(view.id)->facts.id},
                    {"percent", view.filler_pace},
                    {"before", known.pace},
-                   {"over_target", view.over_since.has_value()}});
+                   {"over_target", view.over_target_since.has_value()}});
         known.pace_in_flight = true;
         const std::int32_t percent = view.filler_pace;
         m_hooks.pace(pace_task_order{address_of(view.id), run, percent},
@@ -148,7 +148,7 @@
     // An earlier leader may have stopped it a moment ago, unknown to this one. Without this check, two tasks
     // of a step that may miss one were stopped around a change of leader.
     if (known != view->runs.end() && known->second.inherited &&
-        view->contact.heard() < m_began + m_settings.stops_show)
+        view->contact.last_heard() < m_began + m_settings.stops_show)
     {
         return false;
     }
--- a/src/dispatch/dispatcher_suspects.cpp
+++ b/src/dispatch/dispatcher_suspects.cpp
@@ -23,7 +23,7 @@
         {
             continue;
         }
-        if (m_suspects.rests(ref, now))
+        if (m_suspects.in_backoff(ref, now))
         {
             waits = true;
             continue;
@@ -55,13 +55,14 @@
                                                                monotonic_time now) const
 {
     const worker_view& view = m_views.at(o.worker->id);
-    const bool beside_young = std::any_of(
-        view.runs.begin(), view.runs.end(),
-        [this, &item, now](const auto& there)
-        {
-            const bool other = there.first.task.step.submission != item.ref.submission;
-            return other && (!there.second.settled || now - *there.second.settled <= m_settings.just_began);
-        });
+    const bool beside_young =
+        std::any_of(view.runs.begin(), view.runs.end(),
+                    [this, &item, now](const auto& there)
+                    {
+                        const bool other = there.first.task.step.submission != item.ref.submission;
+                        return other && (!there.second.outcome_known_at ||
+                                         now - *there.second.outcome_known_at <= m_settings.just_began);
+                    });
     return {o.doubt, beside_young, view.runs.size()};
 }
 
--- a/src/dispatch/dispatcher_unheard.cpp
+++ b/src/dispatch/dispatcher_unheard.cpp
@@ -39,7 +39,7 @@
             continue;
         }
         m_unheard_runs += worker->occupied.size();
-        const bool longer = longest == nullptr || longest->contact.heard() > view.contact.heard();
+        const bool longer = longest == nullptr || longest->contact.last_heard() > view.contact.last_heard();
         longest = longer ? &view : longest;
     }
     if (longest == nullptr)
--- a/src/dispatch/dispatcher_workers.cpp
+++ b/src/dispatch/dispatcher_workers.cpp
@@ -34,7 +34,7 @@
         {
             view.look_in_flight = false; // a late answer still counts
         }
-        if (!view.look_in_flight && !view.recording && !view.gone && now >= view.look_due)
+        if (!view.look_in_flight && !view.ends_commit_pending && !view.drop_proposed && now >= view.look_due)
         {
             look_at(view, now);
         }
@@ -44,7 +44,7 @@
 void dispatcher::look_at(worker_view& view, monotonic_time now)
 {
     const worker_life* worker = m_state.find(view.id);
-    if (worker == nullptr || view.gone)
+    if (worker == nullptr || view.drop_proposed)
     {
         return;
     }
@@ -56,7 +56,7 @@
     const bool silent = view.contact.unheard_for(now) > m_settings.silent_after();
     if (view.clock_known && !silent)
     {
-        order.until_ms = view.grant(now, std::min(m_settings.lease, m_settings.lease_cap));
+        order.until_ms = view.grant_lease(now, std::min(m_settings.lease, m_settings.lease_cap));
     }
     const bool shared = view.serving > 0 && view.filling > 0;
     const milliseconds wait = looks_get_lost() ? m_settings.short_look_wait
@@ -65,7 +65,7 @@
     // Unanswered orders are resolved by the list of runs, which a poll that waits for an end would delay.
     const bool waits = view.answered && !view.settles() && !view.has_open_start() && !may_rest(view);
     order.wait_ms = waits ? wait.count() : 0;
-    order.patience = looks_get_lost() ? m_settings.short_look_patience : m_settings.look_patience;
+    order.timeout = looks_get_lost() ? m_settings.short_look_patience : m_settings.look_patience;
     view.look_in_flight = true;
     view.look_sent = now;
     m_hooks.look(order,
@@ -125,7 +125,7 @@
         const bool first = lost && !view->contact.doubted();
         view->contact.note_failed_look(answer.outcome, sent, now); // a refused poll renews no lease either
         view->look_due = at_once ? now : now + m_settings.look_retry;
-        if (first && !view->look_in_flight && !view->recording)
+        if (first && !view->look_in_flight && !view->ends_commit_pending)
         {
             look_at(*view, now); // the sooner a failure is known, the less is lost if this leader fails too
         }
@@ -135,7 +135,7 @@
     {
         // If the known incarnation answered after this poll was sent, it is unclear which of them is newer.
         view->look_due = now;
-        if (sent >= view->contact.heard())
+        if (sent >= view->contact.last_heard())
         {
             take_restart(*view, answer, now);
         }
@@ -156,11 +156,11 @@
     {
         view->look_due = now + m_settings.look_retry; // answers to the open orders trigger a poll earlier
     }
-    else if (!view->recording && may_rest(*view))
+    else if (!view->ends_commit_pending && may_rest(*view))
     {
-        rest(*view, now);
+        poll_rarely(*view, now);
     }
-    else if (!view->recording)
+    else if (!view->ends_commit_pending)
     {
         look_at(*view, now);
     }
@@ -184,9 +184,9 @@
         run_view& known = found->second;
         known.listed = true;
         m_unconfirmed.confirm(listed.run.task.step.submission);
-        if (!known.settled)
+        if (!known.outcome_known_at)
         {
-            known.settled = now;
+            known.outcome_known_at = now;
         }
         if (!listed.checkpoint.empty())
         {
@@ -237,7 +237,7 @@
             continue;
         }
         const run_view& known = found->second;
-        const bool settled_before = known.settled && *known.settled < sent;
+        const bool settled_before = known.outcome_known_at && *known.outcome_known_at < sent;
         const bool stopped_before = known.stop_settled && *known.stop_settled < sent;
         if (known.inherited || settled_before || stopped_before)
         {
@@ -245,7 +245,7 @@
                       {{"worker", worker.facts.id},
                        {"born", worker.facts.born.value()},
                        {"inherited", known.inherited},
-                       {"restarted", known.carried}});
+                       {"restarted", known.carried_over}});
             command.ends.push_back({run, static_cast<std::uint8_t>(run_end::never_began), known.checkpoint});
             if (known.inherited)
             {
@@ -257,7 +257,7 @@
     {
         return;
     }
-    view.recording = true;
+    view.ends_commit_pending = true;
     m_counters.ends += command.ends.size();
     begin_recording(command);
     m_hooks.propose(command,
@@ -273,7 +273,7 @@
                         {
                             return;
                         }
-                        later->recording = false;
+                        later->ends_commit_pending = false;
                         m_news.note(command.worker);
                         for (const observed_end& end : command.ends)
                         {
@@ -372,7 +372,7 @@
             const std::int64_t took_ms = std::chrono::duration_cast<milliseconds>(took).count();
             const double expected = m_objectives.expected_ms(owner->queue, step);
             m_objectives.note_run(owner->queue, step.estimate_ms, took_ms);
-            const double sound = std::min(1.0, sound_spread / m_objectives.spread(owner->queue));
+            const double sound = std::min(1.0, sound_spread / m_objectives.relative_variance(owner->queue));
             const double seen = std::clamp(expected / static_cast<double>(std::max<std::int64_t>(took_ms, 1)),
                                            least_speed, most_speed);
             const bool learns =
--- a/src/dispatch/gang_reservations.cpp
+++ b/src/dispatch/gang_reservations.cpp
@@ -53,7 +53,7 @@
 {
 }
 
-bool reservation_review::overdue(duration waited) const
+bool reservation_review::has_waited_enough(duration waited) const
 {
     return waited >= (m_idle ? m_settings.after_idle : m_settings.after);
 }
--- a/src/dispatch/host_reason.cpp
+++ b/src/dispatch/host_reason.cpp
@@ -3,10 +3,10 @@
 namespace walkthread
 {
 
-host_reason reason_of(const worker_view& view, const worker_life& worker, bool closed, monotonic_time now,
-                      const dispatch_settings& settings)
+host_reason availability_of(const worker_view& view, const worker_life& worker, bool closed,
+                            monotonic_time now, const dispatch_settings& settings)
 {
-    if (view.gone)
+    if (view.drop_proposed)
     {
         return host_reason::dropped;
     }
--- a/src/dispatch/host_table.cpp
+++ b/src/dispatch/host_table.cpp
@@ -43,7 +43,7 @@
     row.open = worker.facts.size - worker.used - row.view->planned;
     row.free = held == m_held.end() ? row.open : row.open - held->second;
     const bool closed = !m_closed.empty() && m_closed.contains(worker.facts.host);
-    row.reason = reason_of(*row.view, worker, closed, m_now, m_settings);
+    row.reason = availability_of(*row.view, worker, closed, m_now, m_settings);
     row.usable = row.reason == host_reason::usable;
     row.stamp = m_pass;
 }
@@ -93,7 +93,7 @@
     return count;
 }
 
-void host_table::touch(worker_life_id worker)
+void host_table::invalidate(worker_life_id worker)
 {
     const auto found = m_places.find(worker);
     if (found != m_places.end())
@@ -105,7 +105,7 @@
 void host_table::hold(worker_life_id worker, const resources& room)
 {
     m_held[worker] += room;
-    touch(worker);
+    invalidate(worker);
 }
 
 void host_table::release(worker_life_id worker, const resources& room)
@@ -120,7 +120,7 @@
     {
         m_held.erase(held);
     }
-    touch(worker);
+    invalidate(worker);
 }
 
 } // namespace walkthread
--- a/src/dispatch/keep_reason.cpp
+++ b/src/dispatch/keep_reason.cpp
@@ -17,7 +17,7 @@
 keep_reason why_kept(const worker_view& view, const hearing_spell& hearing, monotonic_time now,
                      const dispatch_settings& settings)
 {
-    if (view.gone)
+    if (view.drop_proposed)
     {
         return keep_reason::drop_under_way;
     }
@@ -28,7 +28,7 @@
     const std::optional<monotonic_time> asked = view.contact.asked_in_vain();
     if (!asked)
     {
-        return keep_reason::untold;
+        return keep_reason::no_failed_poll;
     }
     if (!view.lease_surely_over(*asked, settings.clock_drift))
     {
--- a/src/dispatch/lost_runs.cpp
+++ b/src/dispatch/lost_runs.cpp
@@ -11,12 +11,12 @@
 constexpr double surely_at_work = 0.5; // fraction of the expected run time, which is often inaccurate
 
 // Time of the last answer of any kind.
-monotonic_time last_word(const worker_view& view)
+monotonic_time last_contact_time(const worker_view& view)
 {
-    monotonic_time latest = view.contact.heard();
+    monotonic_time latest = view.contact.last_heard();
     for (const auto& [run, known] : view.runs)
     {
-        latest = std::max(latest, known.inherited ? latest : known.settled.value_or(latest));
+        latest = std::max(latest, known.inherited ? latest : known.outcome_known_at.value_or(latest));
     }
     return latest;
 }
@@ -32,16 +32,16 @@
 std::vector<lost_run> share_blame(const worker_view& view, duration just_began, monotonic_time lost_at,
                                   const std::function<duration(const run_ref&)>& run_time)
 {
-    const monotonic_time latest = last_word(view);
+    const monotonic_time latest = last_contact_time(view);
     // The start time of a run that an earlier leader started is unknown.
-    const auto young = [latest, just_began](const run_view& known)
+    const auto started_recently = [latest, just_began](const run_view& known)
     {
-        return known.settled && !known.inherited && latest - *known.settled <= just_began;
+        return known.outcome_known_at && !known.inherited && latest - *known.outcome_known_at <= just_began;
     };
     std::set<submission_id> just_begun;
     for (const auto& [run, known] : view.runs)
     {
-        if (young(known) && !view.broke_with_gang(run))
+        if (started_recently(known) && !view.broke_with_gang(run))
         {
             just_begun.insert(run.task.step.submission);
         }
@@ -49,8 +49,8 @@
     std::vector<lost_run> out;
     for (const auto& [run, known] : view.runs)
     {
-        const bool no_order_left = known.tries == 0 && !known.settled && !known.inherited;
-        const bool blamed_before = known.carried && !known.listed; // when the former incarnation ended
+        const bool no_order_left = known.tries == 0 && !known.outcome_known_at && !known.inherited;
+        const bool blamed_before = known.carried_over && !known.listed; // when the former incarnation ended
         if (no_order_left || blamed_before)
         {
             continue;
@@ -60,12 +60,13 @@
             out.push_back({run, false, blame::min_share, known.checkpoint, true});
             continue;
         }
-        std::uint32_t share = young(known) ? share_of_each(just_begun.size()) : blame::min_share;
-        if (just_begun.empty() && view.runs.size() == 1 && known.settled)
+        std::uint32_t share = started_recently(known) ? share_of_each(just_begun.size()) : blame::min_share;
+        if (just_begun.empty() && view.runs.size() == 1 && known.outcome_known_at)
         {
             share = blame::crowd;
         }
-        const bool was_there = known.settled && lost_at - *known.settled <= run_time(run) * surely_at_work;
+        const bool was_there =
+            known.outcome_known_at && lost_at - *known.outcome_known_at <= run_time(run) * surely_at_work;
         out.push_back({run, was_there, share, known.checkpoint, false});
     }
     return out;
--- a/src/dispatch/objective.cpp
+++ b/src/dispatch/objective.cpp
@@ -40,13 +40,13 @@
     const double off = std::clamp(seen, least_ratio, most_ratio) - record.ratio;
     const double relative = off / record.ratio;
     record.ratio += learning_rate * off;
-    record.spread += learning_rate * (relative * relative - record.spread);
+    record.relative_variance += learning_rate * (relative * relative - record.relative_variance);
 }
 
-double objective_book::spread(const std::string& queue) const
+double objective_book::relative_variance(const std::string& queue) const
 {
     const auto found = m_records.find(queue);
-    return found == m_records.end() ? estimate_record{}.spread : found->second.spread;
+    return found == m_records.end() ? estimate_record{}.relative_variance : found->second.relative_variance;
 }
 
 double objective_book::expected_ms(const std::string& queue, const step_spec& step) const
@@ -66,7 +66,7 @@
     for (std::size_t i = steps.size(); i-- > 0;)
     {
         behind[i] += expected_ms(owner.queue, steps[i]);
-        out.longest_ms = std::max(out.longest_ms, behind[i]);
+        out.total_ms = std::max(out.total_ms, behind[i]);
         for (const std::uint32_t earlier : steps[i].after)
         {
             behind[earlier] = std::max(behind[earlier], behind[i]);
@@ -78,7 +78,7 @@
 
 double objective_ms(const chain_times& chain, const queue_spec& queue)
 {
-    return queue.stretch * chain.longest_ms + static_cast<double>(queue.target_latency_ms);
+    return queue.stretch * chain.total_ms + static_cast<double>(queue.target_latency_ms);
 }
 
 } // namespace walkthread
--- a/src/dispatch/suspect_watch.cpp
+++ b/src/dispatch/suspect_watch.cpp
@@ -12,7 +12,7 @@
 constexpr std::uint32_t most_doublings = 2;
 // A host is back after some seconds, the lease included (3 to 4 s); ordinary work must not stall for 3 s.
 constexpr milliseconds first_rest{2000};
-constexpr milliseconds longest_rest = first_rest * (1U << most_doublings);
+constexpr milliseconds max_backoff = first_rest * (1U << most_doublings);
 } // namespace
 
 // A task that was merely present at one crash is started like other work: the loss of a rack leaves dozens of
@@ -50,19 +50,19 @@
 
 void suspect_watch::note_loss(const task_ref& task, monotonic_time now)
 {
-    if (now - m_pruned > longest_rest)
+    if (now - m_pruned > max_backoff)
     {
         m_pruned = now;
         std::erase_if(m_last_loss,
                       [now](const auto& item)
                       {
-                          return now - item.second > longest_rest;
+                          return now - item.second > max_backoff;
                       });
     }
     m_last_loss[task] = now;
 }
 
-bool suspect_watch::rests(const task_ref& task, monotonic_time now) const
+bool suspect_watch::in_backoff(const task_ref& task, monotonic_time now) const
 {
     const suspicion* against = m_crashes.find(task);
     const auto lost = m_last_loss.find(task);
--- a/src/dispatch/worker_view.cpp
+++ b/src/dispatch/worker_view.cpp
@@ -46,7 +46,7 @@
     return found != broken_gangs.end() && found->second == run.run;
 }
 
-std::int64_t worker_view::grant(monotonic_time now, milliseconds lease)
+std::int64_t worker_view::grant_lease(monotonic_time now, milliseconds lease)
 {
     const std::int64_t until = clock_now(now) + lease.count();
     granted_until_ms = std::max(granted_until_ms, until);
@@ -64,22 +64,22 @@
         }
         run_view& known = runs[run];
         known = before;
-        known.carried = true;
+        known.carried_over = true;
         known.listed = known.order_in_flight = known.stop_in_flight = known.pace_in_flight = false;
-        known.ending = false; // the pending commit concerns the former incarnation
+        known.never_began_pending = false; // the pending commit concerns the former incarnation
         known.stop_retry = {};
         known.stop_settled.reset();
         // If exactly one order was sent and it was answered, none can arrive late.
         if (known.tries != 1 && !known.inherited)
         {
-            known.settled.reset();
+            known.outcome_known_at.reset();
         }
     }
     for (const auto& [run, since] : former.late_starts)
     {
         if (now - since < settings.late_orders && !runs.contains(run))
         {
-            runs[run].carried = runs[run].stopping = true;
+            runs[run].carried_over = runs[run].stopping = true;
         }
     }
     late_starts = former.late_starts;
@@ -97,7 +97,7 @@
     return std::any_of(runs.begin(), runs.end(),
                        [](const auto& item)
                        {
-                           return item.second.carried && !item.second.listed;
+                           return item.second.carried_over && !item.second.listed;
                        });
 }
 
@@ -106,7 +106,8 @@
     return std::any_of(runs.begin(), runs.end(),
                        [](const auto& item)
                        {
-                           return item.second.carried && item.second.stopping && !item.second.stop_settled;
+                           return item.second.carried_over && item.second.stopping &&
+                                  !item.second.stop_settled;
                        });
 }
 
@@ -116,7 +117,7 @@
                        [this](const auto& item)
                        {
                            const auto found = runs.find(item.first);
-                           return found != runs.end() && !found->second.settled;
+                           return found != runs.end() && !found->second.outcome_known_at;
                        });
 }
 
--- a/tests/src/advisor_stand_in.hpp
+++ b/tests/src/advisor_stand_in.hpp
@@ -47,7 +47,7 @@
             const waiting_question next = m_questions.front();
             m_questions.pop_front();
             ++m_asking;
-            at(m_settings.question + next.question.lives.size() * duration(200),
+            at(m_settings.question + next.question.incarnations.size() * duration(200),
                [this, next]
                {
                    --m_asking;
@@ -62,7 +62,7 @@
         answer.answered = true;
         answer.took = m_now - asked.since;
         answer.took_ms = std::chrono::duration_cast<milliseconds>(answer.took).count();
-        for (const std::string& life : asked.question.lives)
+        for (const std::string& life : asked.question.incarnations)
         {
             if (is_good(asked.question.step, life))
             {
--- a/tests/src/narrow_pool.hpp
+++ b/tests/src/narrow_pool.hpp
@@ -34,9 +34,9 @@
     {
         const pooled_call call{++m_calls};
         m_waiting[call] = {order, handler};
-        const duration patience = milliseconds(order.wait_ms) + order.patience;
+        const duration timeout = milliseconds(order.wait_ms) + order.timeout;
         if (const auto grant =
-                m_connections.want(call, order.to.address, call_need::usual, now() + patience, now()))
+                m_connections.want(call, order.to.address, call_need::usual, now() + timeout, now()))
         {
             begin(*grant);
         }
--- a/tests/src/pool_settings.hpp
+++ b/tests/src/pool_settings.hpp
@@ -15,18 +15,18 @@
 // Faults of a worker.
 struct worker_faults
 {
-    bool dark = false;          // answers nothing; runs continue until the lease expires
-    double late = 0.0;          // share of starts that get no answer and are carried out 2 to 12 s later
-    bool late_outlives = false; // late starts are carried out even by the next incarnation under the same id
-    double late_stops = 0.0;    // the same for stops
-    double deaf = 0.0;          // share of polls that get no answer
-    double refuse = 0.0;        // share of starts that are refused without effect
-    double unsent = 0.0;        // share of starts that never leave the leader for lack of a connection
-    bool unasked = false;       // polls never leave the leader
-    bool rejects_looks = false; // answers polls, but neither renews its lease nor reports runs
-    bool unheard = false;       // its own reports are lost
-    bool fails_all = false;     // every run fails after 100 ms
-    bool stands_still = false;  // runs never end
+    bool unresponsive = false;   // answers nothing; runs continue until the lease expires
+    double late = 0.0;           // share of starts that get no answer and are carried out 2 to 12 s later
+    bool late_outlives = false;  // late starts are carried out even by the next incarnation under the same id
+    double late_stops = 0.0;     // the same for stops
+    double poll_loss = 0.0;      // share of polls that get no answer
+    double refuse = 0.0;         // share of starts that are refused without effect
+    double unsent = 0.0;         // share of starts that never leave the leader for lack of a connection
+    bool polls_not_sent = false; // polls never leave the leader
+    bool rejects_looks = false;  // answers polls, but neither renews its lease nor reports runs
+    bool reports_lost = false;   // its own reports are lost
+    bool fails_all = false;      // every run fails after 100 ms
+    bool stands_still = false;   // runs never end
     bool resets = false; // starts are carried out, then the connection breaks and the channel resends them
 };
 
@@ -35,7 +35,7 @@
     std::size_t workers = 8;
     resources size{16000, 65536, 0, 0};
     duration commit = milliseconds(10);
-    duration way = milliseconds(1);
+    duration network_delay = milliseconds(1);
     double good_share = 0.5;
     duration question = milliseconds(10); // for one advisor query, plus 0.2 ms for each worker
     std::size_t askers = 0; // processes that query the advisor, one query at a time each; 0: unlimited
--- a/tests/src/pool_stand_in.hpp
+++ b/tests/src/pool_stand_in.hpp
@@ -71,7 +71,7 @@
         m_leader = std::make_unique<dispatcher>(m_state, chosen, hooks(), *m_log, m_term, m_now);
         for (auto& [life, worker] : m_workers)
         {
-            if (!worker.gone && !worker.faults.unheard)
+            if (!worker.gone && !worker.faults.reports_lost)
             {
                 report(life, worker.draining);
             }
@@ -148,7 +148,7 @@
                         {"kind", "rack" + std::to_string(m_workers.size() / 8)},
                         m_settings.size,
                         birth_ms{1}};
-        worker.faults.unheard = !reports;
+        worker.faults.reports_lost = !reports;
         if (m_leader && reports)
         {
             report(life, false);
@@ -180,7 +180,7 @@
         }
         if (auto handler = std::exchange(worker.waiting_look, nullptr); handler)
         {
-            at(refuses ? duration(m_settings.way) : silence,
+            at(refuses ? duration(m_settings.network_delay) : silence,
                [handler]
                {
                    handler({order_outcome::unanswered, {}, 0, {}, {}});
@@ -203,7 +203,7 @@
         }
         if (auto handler = std::exchange(worker.waiting_look, nullptr); handler)
         {
-            at(silent ? silence : duration(m_settings.way),
+            at(silent ? silence : duration(m_settings.network_delay),
                [handler]
                {
                    handler({order_outcome::unanswered, {}, 0, {}, {}});
@@ -224,7 +224,7 @@
                fresh.look_number = former.look_number;
                fresh.facts.born = birth_ms{wall()};
                fresh.clock_zero = m_now.time_since_epoch();
-               fresh.faults.unheard = !reports;
+               fresh.faults.reports_lost = !reports;
                former = fresh;
                if (m_leader && reports)
                {
@@ -287,7 +287,7 @@
     // Delivers a poll to its worker.
     virtual void carry_look(const look_order& order, const std::function<void(const look_answer&)>& handler)
     {
-        at(m_settings.way,
+        at(m_settings.network_delay,
            [this, order, handler]
            {
                take_look(order, handler);
@@ -340,7 +340,7 @@
         }
         if (auto handler = std::exchange(worker.waiting_look, nullptr); handler)
         {
-            at(m_settings.way,
+            at(m_settings.network_delay,
                [handler]
                {
                    handler({order_outcome::unanswered, {}, 0, {}, {}});
@@ -358,7 +358,7 @@
     {
         for (auto& [life, worker] : m_workers)
         {
-            if (m_leader && !worker.gone && !worker.faults.dark && !worker.faults.unheard)
+            if (m_leader && !worker.gone && !worker.faults.unresponsive && !worker.faults.reports_lost)
             {
                 report(life, worker.draining);
             }
@@ -465,7 +465,7 @@
         out.start =
             [this](const start_task_order& order, const std::function<void(const order_answer&)>& handler)
         {
-            at(m_settings.way,
+            at(m_settings.network_delay,
                [this, order, handler]
                {
                    take_start(order, handler, false);
@@ -474,7 +474,7 @@
         out.stop =
             [this](const stop_task_order& order, const std::function<void(const order_answer&)>& handler)
         {
-            at(m_settings.way,
+            at(m_settings.network_delay,
                [this, order, handler]
                {
                    take_stop(order, handler);
@@ -483,7 +483,7 @@
         out.pace =
             [this](const pace_task_order& order, const std::function<void(const order_answer&)>& handler)
         {
-            at(m_settings.way,
+            at(m_settings.network_delay,
                [this, order, handler]
                {
                    sim_worker* worker = find(order.to.id);
--- a/tests/src/standstill_check.hpp
+++ b/tests/src/standstill_check.hpp
@@ -251,9 +251,10 @@
     [[nodiscard]] static bool takes_work(const Worker& worker)
     {
         const worker_faults& wrong = worker.faults;
-        const double chance = wrong.late + wrong.late_stops + wrong.deaf + wrong.refuse + wrong.unsent;
-        return !worker.gone && !worker.draining && !wrong.dark && !wrong.unasked && !wrong.rejects_looks &&
-               !wrong.unheard && !wrong.fails_all && !wrong.stands_still && !wrong.resets && chance == 0.0;
+        const double chance = wrong.late + wrong.late_stops + wrong.poll_loss + wrong.refuse + wrong.unsent;
+        return !worker.gone && !worker.draining && !wrong.unresponsive && !wrong.polls_not_sent &&
+               !wrong.rejects_looks && !wrong.reports_lost && !wrong.fails_all && !wrong.stands_still &&
+               !wrong.resets && chance == 0.0;
     }
     template <class Worker>
     void add_room(const Worker& worker, const step_spec& spec, const step_ref& step, room& sum) const
--- a/tests/src/troubled_pool.hpp
+++ b/tests/src/troubled_pool.hpp
@@ -28,7 +28,7 @@
     void cut_off(const std::string& life, duration span)
     {
         sim_worker& worker = m_workers[life];
-        worker.faults.dark = true;
+        worker.faults.unresponsive = true;
         const monotonic_time until = std::max(m_cut_until[life], now() + span);
         m_cut_until[life] = until;
         if (auto handler = std::exchange(worker.waiting_look, nullptr); handler)
@@ -42,7 +42,7 @@
         at(until - now(),
            [this, life]
            {
-               m_workers[life].faults.dark = now() < m_cut_until[life];
+               m_workers[life].faults.unresponsive = now() < m_cut_until[life];
            });
     }
     [[nodiscard]] std::optional<monotonic_time> works_since() const override
--- a/tests/src/unit-acknowledged.cpp
+++ b/tests/src/unit-acknowledged.cpp
@@ -24,7 +24,7 @@
 {
     for (std::size_t i = 0; i < workers; ++i)
     {
-        pool.faults("w" + std::to_string(i)).unheard = true;
+        pool.faults("w" + std::to_string(i)).reports_lost = true;
     }
     pool.unlead();
     pool.run(without);
@@ -48,11 +48,11 @@
     const worker_report held_back = pool.write_report("w0", false);
     pool.report("w0", true, 60'000);
     pool.run(milliseconds(100));
-    pool.faults("w0").dark = true;
+    pool.faults("w0").unresponsive = true;
     pool.run(seconds(10));
     BOOST_REQUIRE(pool.state().find_id("w0") == nullptr);
-    pool.faults("w0").dark = false;
-    pool.faults("w0").unheard = true;
+    pool.faults("w0").unresponsive = false;
+    pool.faults("w0").reports_lost = true;
     pool.deliver(held_back);
     load(pool, 10);
     pool.run(seconds(3));
@@ -202,7 +202,7 @@
     }
     for (int i = 0; i < 6; ++i)
     {
-        pool.faults("w" + std::to_string(i)).unheard = false;
+        pool.faults("w" + std::to_string(i)).reports_lost = false;
     }
     pool.run(seconds(30));
     BOOST_TEST_CONTEXT("kind " << static_cast<int>(kind) << " seed " << seed)
@@ -251,7 +251,7 @@
     const worker_report late = pool.write_report("w1", false, 60'000);
     pool.report("w1", true, 60'000);
     pool.run(milliseconds(100));
-    pool.faults("w1").unheard = true; // none of its later reports arrives in time
+    pool.faults("w1").reports_lost = true; // none of its later reports arrives in time
     pool.lead();
     pool.run(milliseconds(500));
     pool.deliver(late);
@@ -297,13 +297,13 @@
                 }
                 break;
             case 4:
-                pool.faults(life).dark = !pool.faults(life).dark;
+                pool.faults(life).unresponsive = !pool.faults(life).unresponsive;
                 break;
             case 5:
                 pool.faults(life).late = draw(2) == 0 ? 0.4 : 0.0;
                 break;
             case 6:
-                pool.faults(life).unheard = !pool.faults(life).unheard;
+                pool.faults(life).reports_lost = !pool.faults(life).reports_lost;
                 break;
             case 7:
                 if (draw(2) == 0)
--- a/tests/src/unit-crash-loops.cpp
+++ b/tests/src/unit-crash-loops.cpp
@@ -138,7 +138,7 @@
     crash_day day(1);
     const submission_id id = day.pool.submit("plain", {make_step(1, 1400, 3000)});
     day.pool.run(milliseconds(100));
-    day.pool.faults("w0").dark = true;
+    day.pool.faults("w0").unresponsive = true;
     day.pool.run(milliseconds(2500));
     day.pool.crash("w0", "next");
     day.pool.run(milliseconds(500));
--- a/tests/src/unit-cut-off-leaders.cpp
+++ b/tests/src/unit-cut-off-leaders.cpp
@@ -11,11 +11,11 @@
 
 namespace
 {
-void set_dark(pool_stand_in& pool, std::size_t workers, bool dark)
+void set_dark(pool_stand_in& pool, std::size_t workers, bool unresponsive)
 {
     for (std::size_t i = 0; i < workers; ++i)
     {
-        pool.faults("w" + std::to_string(i)).dark = dark;
+        pool.faults("w" + std::to_string(i)).unresponsive = unresponsive;
     }
 }
 
@@ -68,13 +68,13 @@
     const std::string at = worker_of(pool);
     pool.unlead();
     pool.run(milliseconds(300));
-    pool.faults(at).dark = true;
+    pool.faults(at).unresponsive = true;
     pool.lead();
     pool.run(milliseconds(710)); // one connection attempt
-    pool.faults(at).dark = false;
-    pool.faults(at).unasked = true;
+    pool.faults(at).unresponsive = false;
+    pool.faults(at).polls_not_sent = true;
     pool.run(seconds(12));
-    pool.faults(at).unasked = false;
+    pool.faults(at).polls_not_sent = false;
     pool.run(seconds(3));
     BOOST_TEST(pool.leader().counters().lost_workers == 0U);
     BOOST_TEST((pool.phase(id) == submission_phase::completed));
@@ -95,7 +95,7 @@
         const submission_id first = pool.submit("plain", {make_step(1, 16000, 4000)});
         pool.run(milliseconds(200));
         const std::string other = worker_of(pool) == "w0" ? "w1" : "w0";
-        pool.faults(other).unasked = true;
+        pool.faults(other).polls_not_sent = true;
         pool.faults(other).unsent = 1.0;
         pool.run(milliseconds(delay));
         const submission_id id = pool.submit("plain", {make_step(1, 1000, 500)});
--- a/tests/src/unit-dispatch.cpp
+++ b/tests/src/unit-dispatch.cpp
@@ -67,7 +67,7 @@
     pool.run(seconds(1));
     const submission_id id = pool.submit("plain", {make_step(8, 4000, 2000)});
     pool.run(milliseconds(300));
-    pool.faults("w0").dark = true;
+    pool.faults("w0").unresponsive = true;
     pool.run(seconds(20));
     BOOST_TEST((pool.phase(id) == submission_phase::completed));
     BOOST_TEST(pool.leader().counters().lost_workers == 1U);
@@ -310,7 +310,7 @@
     pool.run(seconds(1));
     for (int i = 0; i < 8; ++i)
     {
-        pool.faults("w" + std::to_string(i)).deaf = 0.05;
+        pool.faults("w" + std::to_string(i)).poll_loss = 0.05;
     }
     std::map<submission_id, monotonic_time> open;
     std::size_t late = 0;
@@ -372,7 +372,7 @@
                 pool.faults(life[w]).refuse = 0.3;
                 break;
             case 2:
-                pool.faults(life[w]).dark = !pool.faults(life[w]).dark;
+                pool.faults(life[w]).unresponsive = !pool.faults(life[w]).unresponsive;
                 break;
             case 3:
             {
@@ -402,7 +402,7 @@
                     "gangs", {make_step(static_cast<std::uint32_t>(2 + draw(6)), 4500, 1500, true)}));
                 break;
             case 16:
-                pool.faults(life[w]).unheard = false;
+                pool.faults(life[w]).reports_lost = false;
                 break;
             case 15:
                 if (!former.empty())
--- a/tests/src/unit-fleet-connections.cpp
+++ b/tests/src/unit-fleet-connections.cpp
@@ -38,10 +38,10 @@
     const submission_id id = pool.submit("plain", {make_step(1, 1000, 1000)});
     pool.run(milliseconds(200));
     const std::string at = pool.running_on("w0") > 0 ? "w0" : "w1";
-    pool.faults(at).unasked = true;
+    pool.faults(at).polls_not_sent = true;
     meanwhile();
     pool.run(seconds(12));
-    pool.faults(at).unasked = false;
+    pool.faults(at).polls_not_sent = false;
     pool.run(seconds(3));
     BOOST_TEST((pool.phase(id) == submission_phase::completed));
     BOOST_TEST(pool.starts_of(task_ref{{id}, 0}) == 1);
--- a/tests/src/unit-gang-reservations.cpp
+++ b/tests/src/unit-gang-reservations.cpp
@@ -112,9 +112,9 @@
 {
     const reservation_review idle(settings, pool, tenth);
     const reservation_review busy(settings, pool, pool);
-    BOOST_TEST(idle.overdue(settings.after_idle));
-    BOOST_TEST(!busy.overdue(settings.after_idle));
-    BOOST_TEST(busy.overdue(settings.after));
+    BOOST_TEST(idle.has_waited_enough(settings.after_idle));
+    BOOST_TEST(!busy.has_waited_enough(settings.after_idle));
+    BOOST_TEST(busy.has_waited_enough(settings.after));
 }
 
 // Small work that ran past the due time delayed the gang repeatedly.
--- a/tests/src/unit-lives.cpp
+++ b/tests/src/unit-lives.cpp
@@ -43,7 +43,7 @@
     pool.run(seconds(1));
     pool.crash("w0", "w0-again", false);
     pool.run(seconds(4));
-    pool.faults("w0-again").unheard = false;
+    pool.faults("w0-again").reports_lost = false;
     pool.report("w0-again", false);
     pool.run(seconds(1));
     const submission_id id = occupy(pool, "w0-again");
@@ -59,7 +59,7 @@
     pool.run(seconds(1));
     pool.crash("w0", "w0-again", false);
     pool.run(seconds(4));
-    pool.faults("w0-again").unheard = false;
+    pool.faults("w0-again").reports_lost = false;
     pool.report("w0-again", false);
     pool.run(seconds(1));
     const submission_id id = occupy(pool, "w0-again");
@@ -92,7 +92,7 @@
     pool.run(seconds(1));
     const submission_id id = occupy(pool, "w0");
     pool.add_worker("w0-silent", "h0", false);
-    pool.faults("w0-silent").dark = true;
+    pool.faults("w0-silent").unresponsive = true;
     pool.report("w0-silent", false);
     pool.run(seconds(6));
     check_started_once(pool, id);
@@ -111,7 +111,7 @@
     pool.run(seconds(1));
     pool.report("w0", true, 60'000);
     pool.run(milliseconds(50));
-    pool.faults("w0").unheard = true; // the next leader has not received its report yet
+    pool.faults("w0").reports_lost = true; // the next leader has not received its report yet
     pool.lead();
     const std::size_t before = pool.starts_on("w0");
     for (int i = 0; i < 10; ++i)
@@ -182,7 +182,7 @@
         pool.run(milliseconds(50));
         if (next_leader)
         {
-            pool.faults("w0").unheard = true; // the next leader receives only the older report
+            pool.faults("w0").reports_lost = true; // the next leader receives only the older report
             pool.lead();
             pool.run(seconds(1));
         }
--- a/tests/src/unit-lost-workers.cpp
+++ b/tests/src/unit-lost-workers.cpp
@@ -96,13 +96,13 @@
     pool.run(milliseconds(300));
     for (int i = 0; i < 4; ++i)
     {
-        pool.faults("w" + std::to_string(i)).dark = true;
+        pool.faults("w" + std::to_string(i)).unresponsive = true;
     }
     pool.run(seconds(20));
     BOOST_TEST(pool.leader().counters().lost_workers == 0U);
     for (int i = 0; i < 4; ++i)
     {
-        pool.faults("w" + std::to_string(i)).dark = false;
+        pool.faults("w" + std::to_string(i)).unresponsive = false;
     }
     pool.run(seconds(6));
     BOOST_TEST((pool.phase(id) == submission_phase::completed));
@@ -170,10 +170,10 @@
         pool.run(milliseconds(1));
     }
     const std::string life = pool.state().find(pool.state().find(task)->worker)->facts.id;
-    pool.faults(life).dark = true;
+    pool.faults(life).unresponsive = true;
     pool.run(milliseconds(2500)); // its ticket has expired by then
     BOOST_TEST_REQUIRE(pool.starts_of(task) == 0U);
-    pool.faults(life).dark = false;
+    pool.faults(life).unresponsive = false;
     pool.run(bounds.drop_and_commit + bounds.question + bounds.start);
     BOOST_TEST(pool.starts_of(task) == 1U);
 }
@@ -202,7 +202,7 @@
         pool.run(milliseconds(10));
         if (!silent.empty() && pool.now() >= since)
         {
-            pool.faults(silent).dark = true;
+            pool.faults(silent).unresponsive = true;
         }
     }
     return {pool.state().find(pool.state().find(task)->worker)->facts.id, pool.now()};
--- a/tests/src/unit-pending.cpp
+++ b/tests/src/unit-pending.cpp
@@ -10,11 +10,11 @@
 
 namespace
 {
-void set_dark(pool_stand_in& pool, std::size_t workers, bool dark)
+void set_dark(pool_stand_in& pool, std::size_t workers, bool unresponsive)
 {
     for (std::size_t i = 0; i < workers; ++i)
     {
-        pool.faults("w" + std::to_string(i)).dark = dark;
+        pool.faults("w" + std::to_string(i)).unresponsive = unresponsive;
     }
 }
 } // namespace
--- a/tests/src/unit-quotas.cpp
+++ b/tests/src/unit-quotas.cpp
@@ -132,7 +132,7 @@
                 faults.late = 0.3;
                 break;
             case 3:
-                faults.dark = !faults.dark;
+                faults.unresponsive = !faults.unresponsive;
                 break;
             case 4:
             case 5:
--- a/tests/src/unit-restarts.cpp
+++ b/tests/src/unit-restarts.cpp
@@ -209,7 +209,7 @@
         pool.run(milliseconds(50));
         for (const std::string life : {"w0", "w1"})
         {
-            pool.faults(life).dark = true;
+            pool.faults(life).unresponsive = true;
         }
         pool.run(milliseconds(1200));
         for (const std::string life : {"w0", "w1"})
@@ -358,7 +358,7 @@
     const submission_id id = pool.submit("gangs", {make_step(6, 4500, 3000, true)});
     pool.run(milliseconds(200));
     BOOST_REQUIRE(pool.running_on("w0") == 3U);
-    pool.faults("w1").dark = true;
+    pool.faults("w1").unresponsive = true;
     pool.restart("w0", milliseconds(500));
     pool.run(milliseconds(100));
     BOOST_REQUIRE(pool.running_on("w1") == 0U);
@@ -465,7 +465,7 @@
                     pool.faults(life).late = draw(2) == 0 ? 0.3 : 0.0;
                     break;
                 case 3:
-                    pool.faults(life).dark = draw(2) == 0;
+                    pool.faults(life).unresponsive = draw(2) == 0;
                     break;
                 case 4:
                     pool.unlead();
@@ -482,7 +482,7 @@
                         "gangs", {make_step(static_cast<std::uint32_t>(2 + draw(5)), 4500, 1200, true)}));
                     break;
                 case 7:
-                    pool.faults(life).unheard = false;
+                    pool.faults(life).reports_lost = false;
                     break;
                 default:
                     all.push_back(pool.submit("batch", {make_step(static_cast<std::uint32_t>(1 + draw(6)),
@@ -493,8 +493,8 @@
             for (std::size_t i = 0; i < 12; ++i)
             {
                 worker_faults& faults = pool.faults("w" + std::to_string(i));
-                faults.dark = false;
-                faults.unheard = false;
+                faults.unresponsive = false;
+                faults.reports_lost = false;
                 faults.late = 0.0;
             }
             pool.run(seconds(30));
--- a/tests/src/unit-rooms.cpp
+++ b/tests/src/unit-rooms.cpp
@@ -62,7 +62,7 @@
 {
     BOOST_TEST(table.find(id(2))->free.cpu == 16000);
     views[id(2)].planned += {3000, 0, 0, 0};
-    table.touch(id(2));
+    table.invalidate(id(2));
     BOOST_TEST(table.find(id(2))->free.cpu == 13000);
     views[id(3)].planned += {3000, 0, 0, 0};
     table.begin_pass(now);
@@ -95,21 +95,21 @@
 
 BOOST_AUTO_TEST_CASE(news_name_each_host_once_or_say_that_some_are_forgotten)
 {
-    room_news news(10);
-    const std::uint64_t begin = news.position();
+    room_news freed(10);
+    const std::uint64_t begin = freed.position();
     for (const std::uint32_t host : {3U, 1U, 3U})
     {
-        news.note(worker_life_id{host});
+        freed.note(worker_life_id{host});
     }
-    BOOST_TEST((news.since(begin) == std::vector{worker_life_id{1}, worker_life_id{3}}));
-    BOOST_TEST(news.since(news.position())->empty());
-    const std::uint64_t later = news.position();
+    BOOST_TEST((freed.since(begin) == std::vector{worker_life_id{1}, worker_life_id{3}}));
+    BOOST_TEST(freed.since(freed.position())->empty());
+    const std::uint64_t later = freed.position();
     for (std::uint32_t host = 0; host < 100; ++host)
     {
-        news.note(worker_life_id{host});
+        freed.note(worker_life_id{host});
     }
-    BOOST_TEST(!news.since(later).has_value());
-    BOOST_TEST(news.since(news.position() - 10)->size() == 10U);
+    BOOST_TEST(!freed.since(later).has_value());
+    BOOST_TEST(freed.since(freed.position() - 10)->size() == 10U);
 }
 
 // Waiting work examines only hosts on which capacity was freed; it must still start as soon as it fits.
--- a/tests/src/unit-waits.cpp
+++ b/tests/src/unit-waits.cpp
@@ -29,7 +29,7 @@
             pool_stand_in::carry_look(order, handler);
             return;
         }
-        at(m_settings.way,
+        at(m_settings.network_delay,
            [this, handler]
            {
                handler({m_outcome, {}, 0, {}, {}});
--- a/tests/src/worker_records.hpp
+++ b/tests/src/worker_records.hpp
@@ -240,7 +240,8 @@
     sim_worker* find(const std::string& life)
     {
         const auto found = m_workers.find(life);
-        const bool silent = found == m_workers.end() || found->second.gone || found->second.faults.dark;
+        const bool silent =
+            found == m_workers.end() || found->second.gone || found->second.faults.unresponsive;
         return silent ? nullptr : &found->second;
     }
     double unit()
--- a/tests/src/worker_stand_in.hpp
+++ b/tests/src/worker_stand_in.hpp
@@ -32,14 +32,14 @@
 
     void answer_later(const std::function<void(const order_answer&)>& handler, order_answer answer)
     {
-        at(m_settings.way,
+        at(m_settings.network_delay,
            [handler, answer]
            {
                handler(answer);
            });
     }
     // The addressed incarnation does not answer: another one at its address identifies itself.
-    void answer_for_other(const worker_address& to, duration patience,
+    void answer_for_other(const worker_address& to, duration timeout,
                           const std::function<void(const order_answer&)>& handler)
     {
         const bool other = std::any_of(m_workers.begin(), m_workers.end(),
@@ -47,7 +47,7 @@
                                        {
                                            const sim_worker& worker = item.second;
                                            return worker.facts.address == to.address && item.first != to.id &&
-                                                  !worker.gone && !worker.faults.dark;
+                                                  !worker.gone && !worker.faults.unresponsive;
                                        });
         const auto meant = m_workers.find(to.id);
         const bool refused = meant != m_workers.end() && meant->second.refuses;
@@ -58,8 +58,8 @@
         const order_outcome outcome = other       ? order_outcome::other_life
                                       : connected ? order_outcome::unanswered
                                                   : order_outcome::unreachable;
-        at(other || refused ? duration(m_settings.way)
-           : connected      ? patience
+        at(other || refused ? duration(m_settings.network_delay)
+           : connected      ? timeout
                             : duration(connect_patience),
            [handler, outcome]
            {
@@ -385,15 +385,15 @@
     void take_look(const look_order& order, const std::function<void(const look_answer&)>& handler)
     {
         sim_worker* worker = find(order.to.id);
-        if (worker != nullptr && worker->faults.unasked)
+        if (worker != nullptr && worker->faults.polls_not_sent)
         {
             handler({order_outcome::not_sent, {}, 0, {}, {}});
             return;
         }
-        const bool lost = worker != nullptr && unit() < worker->faults.deaf;
+        const bool lost = worker != nullptr && unit() < worker->faults.poll_loss;
         if (lost)
         {
-            at(order.patience + milliseconds(order.wait_ms),
+            at(order.timeout + milliseconds(order.wait_ms),
                [handler]
                {
                    handler({order_outcome::unanswered, {}, 0, {}, {}});
@@ -402,7 +402,7 @@
         }
         if (worker == nullptr)
         {
-            answer_for_other(order.to, order.patience + milliseconds(order.wait_ms),
+            answer_for_other(order.to, order.timeout + milliseconds(order.wait_ms),
                              [handler](const order_answer& answer)
                              {
                                  handler({answer.outcome, {}, 0, {}, {}});
@@ -411,7 +411,7 @@
         }
         if (order.to.fence < worker->fence)
         {
-            at(m_settings.way,
+            at(m_settings.network_delay,
                [handler]
                {
                    handler({order_outcome::fenced, {}, 0, {}, {}});
@@ -420,7 +420,7 @@
         }
         if (worker->faults.rejects_looks)
         {
-            at(m_settings.way,
+            at(m_settings.network_delay,
                [handler]
                {
                    handler({order_outcome::rejected, {}, 0, {}, {}});
@@ -496,7 +496,7 @@
     }
     void answer_look(sim_worker& worker)
     {
-        if (!worker.waiting_look || worker.gone || worker.faults.dark)
+        if (!worker.waiting_look || worker.gone || worker.faults.unresponsive)
         {
             return;
         }
@@ -518,7 +518,7 @@
         }
         auto handler = std::exchange(worker.waiting_look, nullptr);
         at(worker.faults.resets ? duration(milliseconds(300))
-                                : m_settings.way, // its poll channel was reset too
+                                : m_settings.network_delay, // its poll channel was reset too
            [handler, answer]
            {
                handler(answer);
