--- a/include/walkthread/dispatch/dispatcher.hpp
+++ b/include/walkthread/dispatch/dispatcher.hpp
@@ -63,7 +63,8 @@
     /// @brief Handles a worker's report. An incarnation that is not known yet is proposed first.
     /// @param done called with true once the report is accepted and its incarnation is in the replicated
     /// state, with false if the worker has to report again
-    void take_report(const worker_report& report, monotonic_time now, const std::function<void(bool)>& done);
+    void handle_report(const worker_report& report, monotonic_time now,
+                       const std::function<void(bool)>& done);
     /// @brief Handles a worker's notice that it is shutting down now.
     void take_leave(const std::string& id, const std::function<void(bool)>& done);
     /// @brief Runs one scheduling pass: urgent and long-running steps each time, the others once per
@@ -106,7 +107,7 @@
     void tidy(monotonic_time now, wall_ms wall);
     [[nodiscard]] candidate make_candidate(const step_ref& ref) const;
     [[nodiscard]] std::vector<candidate> order_candidates(wall_ms wall, bool all);
-    [[nodiscard]] bool rate(candidate& item, wall_ms wall) const;
+    [[nodiscard]] bool evaluate_candidate(candidate& item, wall_ms wall) const;
     [[nodiscard]] int rank(const candidate& item) const;
     [[nodiscard]] bool uses(mechanism which) const
     {
@@ -116,7 +117,7 @@
     void note_waiting(monotonic_time now, wall_ms wall);
     void note_waiting_step(const step_ref& ref, const submission& owner, wall_ms waited_ms,
                            monotonic_time now);
-    void note_unheard(monotonic_time now);
+    void log_unresponsive_worker(monotonic_time now);
     void find_doubted_racks();
     void note_waiting_gang(monotonic_time now, wall_ms wall);
     void stop_unwanted(monotonic_time now);
@@ -140,7 +141,7 @@
     bool place(const candidate& item, monotonic_time now);
     bool place_each(const candidate& item, monotonic_time now);
     void learn_usual_speed();
-    [[nodiscard]] bool allowed(const candidate& item, const host_row& row) const;
+    [[nodiscard]] bool is_eligible(const candidate& item, const host_row& row) const;
     [[nodiscard]] std::string_view ticket_for(const candidate& item, worker_life_id worker,
                                               monotonic_time now);
     [[nodiscard]] resources room_for(const candidate& item, const host_row& row, monotonic_time now) const;
@@ -220,8 +221,8 @@
     void ask_advice(const candidate& item, std::uint32_t need, monotonic_time now);
     void keep_tickets(const candidate& item, monotonic_time now);
     [[nodiscard]] bool may_ask(const candidate& item, bool pressing, monotonic_time now);
-    void ask(const candidate& item, const std::vector<worker_life_id>& workers, bool pressing,
-             monotonic_time now);
+    void send_advisor_query(const candidate& item, const std::vector<worker_life_id>& workers, bool pressing,
+                            monotonic_time now);
     void take_advice(const step_ref& ref, const std::string& queue,
                      const std::vector<worker_life_id>& workers, const advice_answer& answer,
                      milliseconds validity);
@@ -233,7 +234,7 @@
     [[nodiscard]] bool may_preempt(const candidate& item, const run_ref& run, const run_view& known) const;
 
     // dispatcher_polling.cpp: polls, leases, run ends; dispatcher_orders.cpp: starts, stops, retries
-    void look_at_all(monotonic_time now);
+    void poll_workers(monotonic_time now);
     void look_at(worker_view& view, monotonic_time now);
     [[nodiscard]] bool may_rest(const worker_view& view) const;
     void poll_rarely(worker_view& view, monotonic_time now) const;
@@ -245,7 +246,8 @@
     {
         return m_lost_looks > m_settings.looks_lost_often && uses(mechanism::short_looks);
     }
-    void take_look(worker_life_id worker, const look_answer& answer, monotonic_time sent, monotonic_time now);
+    void handle_poll_answer(worker_life_id worker, const look_answer& answer, monotonic_time sent,
+                            monotonic_time now);
     void take_restart(worker_view& view, const look_answer& answer, monotonic_time now);
     [[nodiscard]] std::vector<lost_run> lost_at_restart(const worker_view& former, const look_answer& answer,
                                                         monotonic_time now) const;
@@ -278,12 +280,13 @@
     [[nodiscard]] bool may_still_start(const worker_view& view, const run_ref& run) const;
     void send_recorded(const record_starts& recorded, const std::vector<std::string>& tickets,
                        monotonic_time now);
-    void take_start(worker_life_id worker, const run_ref& run, const order_answer& answer,
-                    monotonic_time now);
+    void handle_start_answer(worker_life_id worker, const run_ref& run, const order_answer& answer,
+                             monotonic_time now);
     void take_unsent_start(worker_view& view, const run_ref& run, order_outcome outcome, monotonic_time now);
     static void note_unsent_call(worker_view& view, order_outcome outcome, monotonic_time now);
     void send_stop(worker_view& view, const run_ref& run, monotonic_time now);
-    void take_stop(worker_life_id worker, const run_ref& run, const order_answer& answer, monotonic_time now);
+    void handle_stop_answer(worker_life_id worker, const run_ref& run, const order_answer& answer,
+                            monotonic_time now);
     void retry_orders(monotonic_time now);
     void watch_runs(monotonic_time now);
     void end_run(worker_life_id worker, const run_ref& run, run_end how, monotonic_time now);
@@ -312,7 +315,7 @@
     dispatch_hooks m_hooks;
     decision_log& m_log;
     std::uint64_t m_fence;
-    monotonic_time m_began;
+    monotonic_time m_term_start;
     wall_ms m_wall{};
     std::shared_ptr<bool> m_alive =
         std::make_shared<bool>(true); ///< false after the end of the term; callbacks check it
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t news_kept = 4096;             // two seconds of the peak load at 1,100 workers
 constexpr duration tidy_every = milliseconds(50);   // a fifth of the shortest retry interval
 // For work that visits every run: stalled runs, speeds and expiry change within seconds.
-constexpr duration review_every = milliseconds(250);
+constexpr duration review_interval = milliseconds(250);
 // Percent: pace of filling tasks that an earlier leader started, until tail latencies are known.
 constexpr std::int32_t inherited_pace = 25;
 // Ranks 0 to 2 are long-running work, urgent work and gangs with a reservation.
@@ -30,7 +30,7 @@
 dispatcher::dispatcher(const workload_state& state, dispatch_settings settings, dispatch_hooks hooks,
                        decision_log& log, std::uint64_t fence, monotonic_time now)
     : m_state(state), m_settings(settings), m_hooks(std::move(hooks)), m_log(log), m_fence(fence),
-      m_began(now), m_hosts(m_state, m_views, m_settings, m_upkeep_hosts),
+      m_term_start(now), m_hosts(m_state, m_views, m_settings, m_upkeep_hosts),
       m_suspects(state.crashes(), m_settings.suspects_watched), m_news(news_kept),
       m_verdicts_noted(state.crashes().verdict_count())
 {
@@ -114,8 +114,8 @@
     const double longest =
         static_cast<double>(m_settings.lease_cap.count()) * (1.0 + 2 * m_settings.clock_drift);
     const auto former = m_views.find(worker.follows);
-    const bool inherited = now == m_began || !worker.occupied.empty();
-    const monotonic_time granted_by = former == m_views.end() ? m_began : now;
+    const bool inherited = now == m_term_start || !worker.occupied.empty();
+    const monotonic_time granted_by = former == m_views.end() ? m_term_start : now;
     view.foreign_lease_end = inherited ? granted_by + milliseconds(static_cast<std::int64_t>(longest)) : now;
     for (const auto& [run, room] : worker.occupied)
     {
@@ -192,13 +192,13 @@
     drop_lost(now);
     find_doubted_racks();
     note_verdicts(now);
-    look_at_all(now);
+    poll_workers(now);
     retry_orders(now);
     advance_waves(now, wall);
     review_holds(now);
     if (now >= m_review_due)
     {
-        m_review_due = now + review_every;
+        m_review_due = now + review_interval;
         watch_runs(now);
         m_unconfirmed.prune(m_state);
         learn_usual_speed();
@@ -207,7 +207,7 @@
 }
 
 // Fills in the slack and timeliness of a step. Returns false if none of its tasks can be started now.
-bool dispatcher::rate(candidate& item, wall_ms wall) const
+bool dispatcher::evaluate_candidate(candidate& item, wall_ms wall) const
 {
     const wall_ms due = item.owner->spec.due_at(item.ref.round);
     if (due > wall || !has_waiting_tasks(item))
@@ -272,7 +272,7 @@
         {
             m_full_wanted = true;
         }
-        else if (rate(item, wall))
+        else if (evaluate_candidate(item, wall))
         {
             out.push_back(item);
         }
--- a/src/dispatch/dispatcher_advice.cpp
+++ b/src/dispatch/dispatcher_advice.cpp
@@ -17,8 +17,8 @@
 constexpr double spare_factor = 1.4;                 // margin over the need: approval rates are averages
 constexpr std::uint64_t most_counted_slots = 0xFFFF; // 16 bits of the sort key
 constexpr std::size_t hosts_to_choose_from = 350;    // candidates of a first query: more gain nothing
-constexpr double choice = 3.0;              // times the needed slots, to leave a choice of better hosts
-constexpr double full_worker_weight = 0.35; // a full worker may have free capacity soon
+constexpr double first_query_slot_factor = 3.0; // times the needed slots, to leave a choice of better hosts
+constexpr double full_worker_weight = 0.35;     // a full worker may have free capacity soon
 } // namespace
 
 // `pressing` queries go ahead of others and do not wait for a free query process.
@@ -29,8 +29,8 @@
         return false;
     }
     const step_advice& known = m_advice.of(item.ref);
-    const bool turn = pressing || !m_hooks.advisors_free || m_hooks.advisors_free();
-    return known.open_questions == 0 && now >= known.ask_after && turn;
+    const bool may_send_now = pressing || !m_hooks.advisors_free || m_hooks.advisors_free();
+    return known.open_questions == 0 && now >= known.ask_after && may_send_now;
 }
 
 // For a first query it is enough to choose among a few hundred hosts, starting at an offset that differs
@@ -50,12 +50,12 @@
     double room = 0;
     for (std::size_t i = 0; i < m_hosts.size(); ++i)
     {
-        if (i >= hosts_to_choose_from && room >= choice * spare_factor * need)
+        if (i >= hosts_to_choose_from && room >= first_query_slot_factor * spare_factor * need)
         {
             break;
         }
         const host_row& row = m_hosts.at((from + i) % m_hosts.size());
-        if (allowed(item, row))
+        if (is_eligible(item, row))
         {
             offers.push_back(make_offer(item, row, now));
             room += share * offers.back().slots;
@@ -91,7 +91,7 @@
     step_advice& known = m_advice.of(item.ref);
     const double share = m_advice.good_share(item.owner->queue);
     std::vector<question_item> offers;
-    double enough = 0;
+    double usable_slots = 0;
     for (const offer& o : find_offers_to_ask(item, need, now))
     {
         const worker_life_id id = o.worker->id;
@@ -104,15 +104,16 @@
         const bool counts = seen && m_advice.usable(entry->second, now, m_settings.ticket_margin);
         if (counts || (seen && o.slots == 0))
         {
-            enough += counts ? o.slots : 0;
+            usable_slots += counts ? o.slots : 0;
             continue; // another query would not help now
         }
-        const double certainty = seen ? 1.0 : share;
-        const double weight = o.slots > 0 ? certainty * o.slots : certainty * o.whole * full_worker_weight;
+        const double approval_probability = seen ? 1.0 : share;
+        const double weight = o.slots > 0 ? approval_probability * o.slots
+                                          : approval_probability * o.whole * full_worker_weight;
         offers.push_back({order_of(o, seen), id, o.slots, weight});
     }
     known.ask_after = now + m_settings.advice_gap; // set also without a query, as little changes until then
-    if (enough >= need)
+    if (usable_slots >= need)
     {
         return;
     }
@@ -123,7 +124,7 @@
                           return x.order < y.order;
                       });
     const bool first = known.entries.empty();
-    double within_reach = enough;
+    double within_reach = usable_slots;
     for (const question_item& o : offers)
     {
         within_reach += o.slots > 0 ? o.weight : 0.0;
@@ -137,7 +138,7 @@
     const double cheap = terms.each_ms > 0 ? spare_cost * terms.decision_ms / terms.each_ms : 0.0;
     const std::size_t least = std::clamp(static_cast<std::size_t>(cheap), least_asked, spare_asked);
     std::vector<worker_life_id> asked;
-    double sum = enough;
+    double sum = usable_slots;
     for (const question_item& o : offers)
     {
         const bool done = sum >= need * spare_factor && asked.size() >= least;
@@ -153,7 +154,7 @@
         keep_tickets(item, now);
         return;
     }
-    ask(item, asked, item.presses(), now);
+    send_advisor_query(item, asked, item.presses(), now);
 }
 
 // Renews the tickets of a waiting step for all approved hosts while query processes are idle. The step can
@@ -182,12 +183,12 @@
     }
     if (2 * hosts.size() >= good) // batches renewals instead of one query per host
     {
-        ask(item, hosts, false, now);
+        send_advisor_query(item, hosts, false, now);
     }
 }
 
-void dispatcher::ask(const candidate& item, const std::vector<worker_life_id>& workers, bool pressing,
-                     monotonic_time now)
+void dispatcher::send_advisor_query(const candidate& item, const std::vector<worker_life_id>& workers,
+                                    bool pressing, monotonic_time now)
 {
     if (workers.empty())
     {
@@ -239,9 +240,9 @@
                 tickets[worker->id] = grant.ticket;
             }
         }
-        const duration on_the_way =
+        const duration transit_time =
             std::max<duration>(answer.took - milliseconds(answer.took_ms), duration{0});
-        m_advice.take(ref, queue, workers, tickets, {now - answer.took, now - on_the_way}, validity);
+        m_advice.take(ref, queue, workers, tickets, {now - answer.took, now - transit_time}, validity);
     }
     log_event(now, "advice_taken", name_of(ref),
               {{"answered", answer.answered},
--- a/src/dispatch/dispatcher_gang_room.cpp
+++ b/src/dispatch/dispatcher_gang_room.cpp
@@ -32,9 +32,9 @@
         }
         const auto known = m_gang_since.find(item.ref);
         const auto& tasks = item.owner->rounds[item.ref.round.value()].steps[item.ref.step].tasks;
-        const bool fresh = item.step->after.empty() && tasks.front().run == 0;
+        const bool first_attempt = item.step->after.empty() && tasks.front().run == 0;
         const wall_ms turn = std::max(item.owner->spec.due_at(item.ref.round), item.owner->accepted);
-        const milliseconds waited{fresh ? std::max<wall_ms>(m_wall - turn, 0) : 0};
+        const milliseconds waited{first_attempt ? std::max<wall_ms>(m_wall - turn, 0) : 0};
         since[item.ref] = known != m_gang_since.end() ? known->second : now - waited;
         gangs.push_back(item);
     }
@@ -295,7 +295,7 @@
     if (soon)
     {
         m_advice.of(item.ref).ask_after = now + m_settings.advice_gap;
-        ask(item, hosts_without_ticket(item, hold, now), true, now);
+        send_advisor_query(item, hosts_without_ticket(item, hold, now), true, now);
     }
     else if (!learn_hosts(item, now))
     {
--- a/src/dispatch/dispatcher_gangs.cpp
+++ b/src/dispatch/dispatcher_gangs.cpp
@@ -70,8 +70,8 @@
 bool dispatcher::place_gang(const candidate& item, monotonic_time now)
 {
     const bool holds = m_holds.contains(item.ref);
-    const bool resting = !holds && !item.urgent() && now < m_gang_retry[item.ref];
-    if (resting || has_suspect_at_rest(item, now) || waiting_tasks(item) != item.step->count)
+    const bool backing_off = !holds && !item.urgent() && now < m_gang_retry[item.ref];
+    if (backing_off || has_suspect_at_rest(item, now) || waiting_tasks(item) != item.step->count)
     {
         return true;
     }
@@ -239,15 +239,15 @@
 void dispatcher::hold_room(const candidate& item, monotonic_time now)
 {
     const auto before = m_holds.find(item.ref);
-    const std::uint32_t had = before == m_holds.end() ? 0 : before->second.total;
+    const std::uint32_t held_before = before == m_holds.end() ? 0 : before->second.total;
     std::vector<offer> offers = find_good_offers(item, now);
     std::uint32_t sum = 0;
     for (const offer& o : offers)
     {
         sum += o.slots;
     }
-    const bool resting = m_hold_after.contains(item.ref) && now < m_hold_after[item.ref];
-    if (sum == 0 || (sum < item.step->count && (resting || !may_gather(item))))
+    const bool backing_off = m_hold_after.contains(item.ref) && now < m_hold_after[item.ref];
+    if (sum == 0 || (sum < item.step->count && (backing_off || !may_gather(item))))
     {
         drop_hold(item.ref);
         return;
@@ -274,8 +274,8 @@
             next.total += count;
         }
     }
-    next.grew = next.total > had || before == m_holds.end() ? now : before->second.grew;
-    if (had == 0)
+    next.grew = next.total > held_before || before == m_holds.end() ? now : before->second.grew;
+    if (held_before == 0)
     {
         log_event(now, "room_held", name_of(item.ref),
                   {{"tasks", next.total},
@@ -360,7 +360,7 @@
     if (complete)
     {
         m_advice.of(item.ref).ask_after = now + m_settings.advice_gap;
-        ask(item, hosts_without_ticket(item, hold->second, now), complete, now);
+        send_advisor_query(item, hosts_without_ticket(item, hold->second, now), complete, now);
         return;
     }
     if (!learn_hosts(item, now))
@@ -374,8 +374,8 @@
 bool dispatcher::learn_hosts(const candidate& item, monotonic_time now)
 {
     // Query processes are few: late gangs, which are worth less, use them only while they are idle.
-    const bool seeks = m_seeks_hosts.contains(item.ref);
-    if (item.missed() && !seeks && m_hooks.advisors_idle && !m_hooks.advisors_idle())
+    const bool short_of_hosts = m_seeks_hosts.contains(item.ref);
+    if (item.missed() && !short_of_hosts && m_hooks.advisors_idle && !m_hooks.advisors_idle())
     {
         return false;
     }
@@ -399,24 +399,24 @@
     const double missing = item.step->count - held_tasks(item.ref);
     const bool reached = within_reach >= m_settings.gang_reach * item.step->count;
     // Unless unknown hosts have enough free capacity now.
-    if (!seeks && reached && unknown_free < missing * spare_factor)
+    if (!short_of_hosts && reached && unknown_free < missing * spare_factor)
     {
         return false;
     }
     // Only a few hosts are named: a heap yields the best ones without sorting all.
-    const auto lesser = [](const offer& a, const offer& b)
+    const auto has_less_capacity = [](const offer& a, const offer& b)
     {
         return std::make_tuple(a.slots, a.whole, a.worker->id) <
                std::make_tuple(b.slots, b.whole, b.worker->id);
     };
-    std::make_heap(unknown.begin(), unknown.end(), lesser);
+    std::make_heap(unknown.begin(), unknown.end(), has_less_capacity);
     double now_free = 0;
     for (auto end = unknown.end(); end != unknown.begin(); --end)
     {
-        std::pop_heap(unknown.begin(), end, lesser);
+        std::pop_heap(unknown.begin(), end, has_less_capacity);
         const offer& o = *std::prev(end);
-        const bool far = !reached && within_reach >= m_settings.gang_reach * item.step->count;
-        const bool enough = !seeks && (far || now_free >= missing * spare_factor);
+        const bool newly_reached = !reached && within_reach >= m_settings.gang_reach * item.step->count;
+        const bool enough = !short_of_hosts && (newly_reached || now_free >= missing * spare_factor);
         if ((enough && asked.size() >= least_asked) || asked.size() >= most_asked)
         {
             break;
@@ -431,7 +431,7 @@
         const auto first = asked.begin() + static_cast<std::ptrdiff_t>(begin);
         const auto last =
             asked.begin() + static_cast<std::ptrdiff_t>(std::min(begin + learning_question, asked.size()));
-        ask(item, {first, last}, item.urgent(), now);
+        send_advisor_query(item, {first, last}, item.urgent(), now);
     }
     return !asked.empty();
 }
--- a/src/dispatch/dispatcher_losses.cpp
+++ b/src/dispatch/dispatcher_losses.cpp
@@ -122,9 +122,9 @@
     }
     const auto known = view->second.runs.find(run);
     const bool follows = life->follows != worker_life_id{};
-    const bool of_former = known != view->second.runs.end() &&
-                           (known->second.carried_over || (known->second.inherited && follows));
-    return !of_former && view->second.contact.last_heard() >= then;
+    const bool of_former_incarnation = known != view->second.runs.end() &&
+                                       (known->second.carried_over || (known->second.inherited && follows));
+    return !of_former_incarnation && view->second.contact.last_heard() >= then;
 }
 
 // Logs each run lost with a worker and the data that decides whether it becomes a crash suspect: one line per
--- a/src/dispatch/dispatcher_orders.cpp
+++ b/src/dispatch/dispatcher_orders.cpp
@@ -90,7 +90,7 @@
                   {
                       if (*alive)
                       {
-                          take_start(worker, run, answer, m_hooks.now());
+                          handle_start_answer(worker, run, answer, m_hooks.now());
                       }
                   });
 }
@@ -110,11 +110,11 @@
               {{"worker", worker.facts.id},
                {"leaving", worker.leaving},
                {"sequence", worker.leaving_sequence},
-               {"led_for_ms", now - m_began}});
+               {"led_for_ms", now - m_term_start}});
 }
 
-void dispatcher::take_start(worker_life_id worker, const run_ref& run, const order_answer& answer,
-                            monotonic_time now)
+void dispatcher::handle_start_answer(worker_life_id worker, const run_ref& run, const order_answer& answer,
+                                     monotonic_time now)
 {
     worker_view* view = view_of(worker);
     const auto found = view == nullptr ? std::map<run_ref, run_view>::iterator{} : view->runs.find(run);
@@ -276,13 +276,13 @@
                  {
                      if (*alive)
                      {
-                         take_stop(worker, run, answer, m_hooks.now());
+                         handle_stop_answer(worker, run, answer, m_hooks.now());
                      }
                  });
 }
 
-void dispatcher::take_stop(worker_life_id worker, const run_ref& run, const order_answer& answer,
-                           monotonic_time now)
+void dispatcher::handle_stop_answer(worker_life_id worker, const run_ref& run, const order_answer& answer,
+                                    monotonic_time now)
 {
     worker_view* view = view_of(worker);
     const auto found = view == nullptr ? std::map<run_ref, run_view>::iterator{} : view->runs.find(run);
@@ -331,7 +331,7 @@
 {
     for (auto& [id, view] : m_views)
     {
-        const bool silent = view.contact.unheard_for(now) > m_settings.silent_after();
+        const bool unresponsive = view.contact.unheard_for(now) > m_settings.silent_after();
         std::vector<run_ref> again;
         for (auto& [run, known] : view.runs)
         {
@@ -341,21 +341,22 @@
             }
             const bool open = !known.outcome_known_at && !known.inherited && !known.carried_over &&
                               !known.order_in_flight && !known.stopping && !known.never_began_pending;
-            const bool bound = silent && known.tries > 0; // it may run there: waits for the worker's answer
-            if (open && !bound && now - known.sent >= m_settings.order_retry)
+            const bool may_be_running =
+                unresponsive && known.tries > 0; // it may run there: waits for the worker's answer
+            if (open && !may_be_running && now - known.sent >= m_settings.order_retry)
             {
                 again.push_back(run);
             }
         }
         for (const run_ref& run : again)
         {
-            const bool left = m_state.needs_run(run) && !may_still_start(view, run);
-            m_counters.starts_withdrawn += left ? 1 : 0;
+            const bool withdrawn = m_state.needs_run(run) && !may_still_start(view, run);
+            m_counters.starts_withdrawn += withdrawn ? 1 : 0;
             const run_view& known = view.runs[run];
-            const bool sendable = known.tries > 0 ? known.tries < m_settings.start_tries
-                                                  : known.unsent_attempts > 0 &&
-                                                        known.unsent_attempts < m_settings.unsent_tries;
-            const bool again_now = sendable && !silent && may_still_start(view, run);
+            const bool retryable = known.tries > 0 ? known.tries < m_settings.start_tries
+                                                   : known.unsent_attempts > 0 &&
+                                                         known.unsent_attempts < m_settings.unsent_tries;
+            const bool again_now = retryable && !unresponsive && may_still_start(view, run);
             if (again_now)
             {
                 send_start(id, run, now);
@@ -395,13 +396,13 @@
             const bool leaving =
                 view.draining && step.checkpoints && view.leaves_at - now < m_settings.drain_stop;
             const double expected = m_objectives.expected_ms(owner->queue, step) * stuck_factor;
-            const duration patience =
+            const duration stall_limit =
                 std::max<duration>(m_settings.stuck_after, milliseconds(static_cast<std::int64_t>(expected)));
             const bool paced = known.pace < 100; // throttled by this leader, so no progress is expected
             // Measured up to the last answer: runs of an unresponsive worker may well make progress.
-            const bool stuck =
-                !step.lasting && !paced && view.contact.last_heard() - known.progressed > patience;
-            if (stuck)
+            const bool stalled =
+                !step.lasting && !paced && view.contact.last_heard() - known.progressed > stall_limit;
+            if (stalled)
             {
                 view.avoid_until = std::max(view.avoid_until, now + view.next_quarantine);
                 log_event(now, "worker_avoided", m_state.find(id)->facts.id,
@@ -409,7 +410,7 @@
                            {"run", name_of(run)},
                            {"unchanged_ms", now - known.progressed}});
             }
-            if (leaving || stuck)
+            if (leaving || stalled)
             {
                 send_stop(view, run, now);
             }
--- a/src/dispatch/dispatcher_place.cpp
+++ b/src/dispatch/dispatcher_place.cpp
@@ -142,7 +142,7 @@
     m_usual_speed = *at;
 }
 
-bool dispatcher::allowed(const candidate& item, const host_row& row) const
+bool dispatcher::is_eligible(const candidate& item, const host_row& row) const
 {
     if (!row.usable || row.pool != item.pool)
     {
@@ -208,10 +208,10 @@
         const worker_life_id id = row.worker->id;
         const auto entry = known.entries.find(id);
         const bool bad = advised && entry != known.entries.end() && !entry->second.good;
-        if (!bad && !failed.contains(id) && allowed(item, row))
+        if (!bad && !failed.contains(id) && is_eligible(item, row))
         {
-            const bool sure = !advised || entry != known.entries.end();
-            others += (sure ? 1.0 : m_advice.good_share(item.owner->queue)) *
+            const bool is_known = !advised || entry != known.entries.end();
+            others += (is_known ? 1.0 : m_advice.good_share(item.owner->queue)) *
                       slots(item, id, row.worker->facts.size);
         }
     }
@@ -271,7 +271,7 @@
     for (std::size_t place = 0; place < m_hosts.size(); ++place)
     {
         const host_row& row = m_hosts.at(place);
-        if (allowed(item, row) && !failed.contains(row.worker->id))
+        if (is_eligible(item, row) && !failed.contains(row.worker->id))
         {
             offers.push_back(make_offer(item, row, now));
         }
@@ -302,7 +302,7 @@
     for (const auto& [id, entry] : m_advice.of(item.ref).entries)
     {
         const host_row* row = entry.good && !failed.contains(id) ? m_hosts.find(id) : nullptr;
-        if (row != nullptr && allowed(item, *row))
+        if (row != nullptr && is_eligible(item, *row))
         {
             offers.push_back(make_offer(item, *row, now));
         }
@@ -352,7 +352,7 @@
     for (const worker_life_id id : *news)
     {
         const host_row* row = surely_good(item, id) ? m_hosts.find(id) : nullptr;
-        if (row == nullptr || !allowed(item, *row))
+        if (row == nullptr || !is_eligible(item, *row))
         {
             continue;
         }
@@ -406,10 +406,10 @@
 
 bool dispatcher::place_each(const candidate& item, monotonic_time now)
 {
-    const bool lately = looked_at_lately(item, now);
+    const bool scanned_recently = looked_at_lately(item, now);
     const std::uint64_t news = m_news.position();
-    std::vector<offer> offers = lately ? find_new_offers(item, now) : find_open_offers(item, now);
-    if (lately && offers.empty())
+    std::vector<offer> offers = scanned_recently ? find_new_offers(item, now) : find_open_offers(item, now);
+    if (scanned_recently && offers.empty())
     {
         m_waiting.at(item.ref).seen = news;
         return true; // nothing was scanned, so it does not count as a failed placement
@@ -447,7 +447,7 @@
     }
     waiting_step& waits = m_waiting[item.ref];
     waits.seen = news;
-    if (!lately)
+    if (!scanned_recently)
     {
         waits.look_again = now + look_at_all_again;
         reserve_hosts(item, left, now);
--- a/src/dispatch/dispatcher_reports.cpp
+++ b/src/dispatch/dispatcher_reports.cpp
@@ -7,8 +7,8 @@
 namespace walkthread
 {
 
-void dispatcher::take_report(const worker_report& report, monotonic_time now,
-                             const std::function<void(bool)>& done)
+void dispatcher::handle_report(const worker_report& report, monotonic_time now,
+                               const std::function<void(bool)>& done)
 {
     const worker_life* known = m_state.find_life(report.facts.life());
     if (known != nullptr && !known->assumed && known->facts == report.facts)
@@ -108,8 +108,8 @@
 void dispatcher::record_leaving(const worker_life& known, const worker_report& report,
                                 const std::function<void(bool)>& done)
 {
-    const bool stays = !report.draining && !known.leaving;
-    if (stays || report.sequence <= known.leaving_sequence)
+    const bool not_leaving = !report.draining && !known.leaving;
+    if (not_leaving || report.sequence <= known.leaving_sequence)
     {
         done(true);
         return;
@@ -151,9 +151,9 @@
                      }
                      const worker_life* still = m_state.find_host(report.facts.host);
                      const bool unchanged = still == nullptr || still->id == present;
-                     const bool lives =
+                     const bool is_running =
                          answer.outcome == order_outcome::accepted && answer.born == report.facts.born;
-                     if (lives && unchanged)
+                     if (is_running && unchanged)
                      {
                          admit(report, answer, done);
                          return;
@@ -214,7 +214,7 @@
                                   {{"host", report.facts.host},
                                    {"hall", report.facts.hall},
                                    {"born", report.facts.born.value()}});
-                        take_report(report, now, done);
+                        handle_report(report, now, done);
                     });
 }
 
--- a/src/dispatch/dispatcher_reserve.cpp
+++ b/src/dispatch/dispatcher_reserve.cpp
@@ -89,9 +89,9 @@
         double wait_ms;
     };
     const auto before = m_holds.find(item.ref);
-    const std::size_t most = most_reserved(item);
+    const std::size_t max_hosts = most_reserved(item);
     const std::size_t others = reserved_hosts(item);
-    if (others >= most && before == m_holds.end())
+    if (others >= max_hosts && before == m_holds.end())
     {
         return;
     }
@@ -115,7 +115,8 @@
                   return std::make_tuple(!a.kept, a.wait_ms, a.at.worker->id) <
                          std::make_tuple(!b.kept, b.wait_ms, b.at.worker->id);
               });
-    const std::size_t wanted = std::min<std::size_t>({left, places.size(), most - std::min(most, others)});
+    const std::size_t wanted =
+        std::min<std::size_t>({left, places.size(), max_hosts - std::min(max_hosts, others)});
     room_hold next;
     next.each = room_of(*item.step);
     next.missed = item.missed();
@@ -146,7 +147,7 @@
     set_hold(item.ref, std::move(next));
     if (may_ask(item, true, now))
     {
-        ask(item, soon, true, now);
+        send_advisor_query(item, soon, true, now);
     }
 }
 
@@ -195,7 +196,7 @@
             unknown.push_back(o.worker->id);
         }
     }
-    ask(item, unknown, false, now);
+    send_advisor_query(item, unknown, false, now);
 }
 
 } // namespace walkthread
--- a/src/dispatch/dispatcher_rests.cpp
+++ b/src/dispatch/dispatcher_rests.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 // Times the usual idle interval: intervals are spread by up to a quarter, and polls wait for connections.
-constexpr int longest_rest = 2;
+constexpr int max_idle_poll_factor = 2;
 } // namespace
 
 // Where there are more workers than connections for polls, idle workers are polled rarely and keep no
@@ -25,7 +25,7 @@
 {
     const bool polled_rarely = m_views.size() > m_settings.look_connections;
     return m_settings.silent_after() +
-           (polled_rarely ? longest_rest * m_settings.idle_look_gap : milliseconds(0));
+           (polled_rarely ? max_idle_poll_factor * m_settings.idle_look_gap : milliseconds(0));
 }
 
 void dispatcher::poll_rarely(worker_view& view, monotonic_time now) const
@@ -39,14 +39,14 @@
 // Polls one idle worker, whose answer tells whether the leader is partitioned.
 void dispatcher::ask_a_resting_worker(monotonic_time now)
 {
-    const auto resting = std::find_if(m_views.begin(), m_views.end(),
-                                      [now](const auto& item)
-                                      {
-                                          return item.second.contact.polled_rarely(now);
-                                      });
-    if (resting != m_views.end())
+    const auto idle_worker = std::find_if(m_views.begin(), m_views.end(),
+                                          [now](const auto& item)
+                                          {
+                                              return item.second.contact.polled_rarely(now);
+                                          });
+    if (idle_worker != m_views.end())
     {
-        end_rest(resting->second, now);
+        end_rest(idle_worker->second, now);
     }
 }
 
--- a/src/dispatch/dispatcher_sharing.cpp
+++ b/src/dispatch/dispatcher_sharing.cpp
@@ -148,7 +148,7 @@
     // An earlier leader may have stopped it a moment ago, unknown to this one. Without this check, two tasks
     // of a step that may miss one were stopped around a change of leader.
     if (known != view->runs.end() && known->second.inherited &&
-        view->contact.last_heard() < m_began + m_settings.stops_show)
+        view->contact.last_heard() < m_term_start + m_settings.stops_show)
     {
         return false;
     }
--- a/src/dispatch/dispatcher_suspects.cpp
+++ b/src/dispatch/dispatcher_suspects.cpp
@@ -14,7 +14,7 @@
                                std::uint32_t& left, monotonic_time now) const
 {
     const auto& tasks = item.owner->rounds[item.ref.round.value()].steps[item.ref.step].tasks;
-    bool waits = false;
+    bool must_wait = false;
     for (std::uint32_t i = 0; i < tasks.size(); ++i)
     {
         const task_ref ref{item.ref, i};
@@ -25,7 +25,7 @@
         }
         if (m_suspects.in_backoff(ref, now))
         {
-            waits = true;
+            must_wait = true;
             continue;
         }
         offer* best = nullptr;
@@ -38,7 +38,7 @@
             best = o.slots > 0 && !o.watched && better ? &o : best;
         }
         left += room ? 0 : 1;
-        waits = waits || (room && best == nullptr);
+        must_wait = must_wait || (room && best == nullptr);
         if (best != nullptr)
         {
             --best->slots;
@@ -46,7 +46,7 @@
             tickets.emplace_back(best->ticket);
         }
     }
-    return waits;
+    return must_wait;
 }
 
 // Lower is better. Avoids hosts on which runs of other submissions have just started: after a crash it could
@@ -55,7 +55,7 @@
                                                                monotonic_time now) const
 {
     const worker_view& view = m_views.at(o.worker->id);
-    const bool beside_young =
+    const bool beside_recent_start =
         std::any_of(view.runs.begin(), view.runs.end(),
                     [this, &item, now](const auto& there)
                     {
@@ -63,7 +63,7 @@
                         return other && (!there.second.outcome_known_at ||
                                          now - *there.second.outcome_known_at <= m_settings.just_began);
                     });
-    return {o.doubt, beside_young, view.runs.size()};
+    return {o.doubt, beside_recent_start, view.runs.size()};
 }
 
 } // namespace walkthread
--- a/src/dispatch/dispatcher_unheard.cpp
+++ b/src/dispatch/dispatcher_unheard.cpp
@@ -26,7 +26,7 @@
 }
 
 // Logs the worker with runs that has been unresponsive for longest, at most one line a second.
-void dispatcher::note_unheard(monotonic_time now)
+void dispatcher::log_unresponsive_worker(monotonic_time now)
 {
     const worker_view* longest = nullptr;
     m_unheard_runs = 0;
--- a/src/dispatch/dispatcher_upkeep.cpp
+++ b/src/dispatch/dispatcher_upkeep.cpp
@@ -84,7 +84,7 @@
     }
     // An earlier leader has let other hosts pass ordered ones. Which of the ordered hosts are down is unknown
     // until all of them must be back.
-    if (down + turns[0].size() > wave.at_once && now - m_began <= m_settings.upkeep_lost)
+    if (down + turns[0].size() > wave.at_once && now - m_term_start <= m_settings.upkeep_lost)
     {
         return {};
     }
@@ -138,7 +138,8 @@
         }
         m_upkeep_in_flight.insert(host);
         m_upkeep_retry[host] = now + order_retry;
-        const auto tell = [this, alive = m_alive, number = wave.wave, host = host](const order_answer& answer)
+        const auto on_order_answer =
+            [this, alive = m_alive, number = wave.wave, host = host](const order_answer& answer)
         {
             if (!*alive)
             {
@@ -156,18 +157,19 @@
                     [](bool /*committed*/) {}); // a new leader may order it again, which is harmless
             }
         };
-        m_hooks.propose(advance_upkeep{wave.wave, host, static_cast<std::uint8_t>(upkeep_phase::ordered)},
-                        [this, alive = m_alive, tell, host = host, number = wave.wave](bool committed)
-                        {
-                            if (*alive && committed)
-                            {
-                                m_hooks.order_upkeep(host, number, m_fence, tell);
-                            }
-                            else if (*alive)
-                            {
-                                m_upkeep_in_flight.erase(host);
-                            }
-                        });
+        m_hooks.propose(
+            advance_upkeep{wave.wave, host, static_cast<std::uint8_t>(upkeep_phase::ordered)},
+            [this, alive = m_alive, on_order_answer, host = host, number = wave.wave](bool committed)
+            {
+                if (*alive && committed)
+                {
+                    m_hooks.order_upkeep(host, number, m_fence, on_order_answer);
+                }
+                else if (*alive)
+                {
+                    m_upkeep_in_flight.erase(host);
+                }
+            });
     }
 }
 
@@ -178,7 +180,7 @@
 {
     const std::string& host = worker.facts.host;
     const auto taken = m_upkeep_taken.find(host);
-    const monotonic_time since = taken == m_upkeep_taken.end() ? m_began : taken->second;
+    const monotonic_time since = taken == m_upkeep_taken.end() ? m_term_start : taken->second;
     const worker_view* view = view_of(worker.id);
     m_upkeep_hosts.insert(host);
     if (view == nullptr || view->answered_look < since + m_settings.upkeep_shows ||
--- a/src/dispatch/dispatcher_waiting.cpp
+++ b/src/dispatch/dispatcher_waiting.cpp
@@ -26,7 +26,7 @@
         return;
     }
     m_waiting_due = now + told_every;
-    note_unheard(now);
+    log_unresponsive_worker(now);
     const submission* longest = nullptr;
     step_ref waiting;
     wall_ms since = wall - told_after;
@@ -69,7 +69,8 @@
     {
         return;
     }
-    static_cast<void>(rate(*longest, wall)); // its timeliness decides which holds count against it
+    static_cast<void>(
+        evaluate_candidate(*longest, wall)); // its timeliness decides which holds count against it
     longest->placed = placed_tasks(*longest);
     std::uint32_t free = 0;
     std::uint32_t open = 0;
@@ -92,7 +93,7 @@
             gathering.append(gathering.empty() ? 0 : 1, ' ').append(name_of(ref));
         }
     }
-    const auto rests = m_hold_after.find(longest->ref);
+    const auto hold_backoff = m_hold_after.find(longest->ref);
     log_event(now, "gang_waits", name_of(longest->ref),
               {{"waited_ms", wall - since},
                {"tasks", longest->step->count},
@@ -104,7 +105,7 @@
                {"empty", whole},
                {"held", held_tasks(longest->ref)},
                {"may_gather", may_gather(*longest)},
-               {"rests", rests != m_hold_after.end() && now < rests->second},
+               {"rests", hold_backoff != m_hold_after.end() && now < hold_backoff->second},
                {"advisors_idle", !m_hooks.advisors_idle || m_hooks.advisors_idle()},
                {"gather", named},
                {"gathering", gathering}});
--- a/src/dispatch/dispatcher_workers.cpp
+++ b/src/dispatch/dispatcher_workers.cpp
@@ -24,7 +24,7 @@
 // Polls and leases
 // ---------------------------------------------------------------------------------------------------------
 
-void dispatcher::look_at_all(monotonic_time now)
+void dispatcher::poll_workers(monotonic_time now)
 {
     for (auto& [id, view] : m_views)
     {
@@ -53,8 +53,8 @@
     order.last_seen = worker->listed_up_to;
     // A worker whose answers are lost may still receive polls. Its lease has to expire at some time, so a
     // poll of an unresponsive worker does not renew it.
-    const bool silent = view.contact.unheard_for(now) > m_settings.silent_after();
-    if (view.clock_known && !silent)
+    const bool unresponsive = view.contact.unheard_for(now) > m_settings.silent_after();
+    if (view.clock_known && !unresponsive)
     {
         order.until_ms = view.grant_lease(now, std::min(m_settings.lease, m_settings.lease_cap));
     }
@@ -73,7 +73,7 @@
                  {
                      if (*alive)
                      {
-                         take_look(worker_id, answer, now, m_hooks.now());
+                         handle_poll_answer(worker_id, answer, now, m_hooks.now());
                      }
                  });
 }
@@ -81,15 +81,15 @@
 // Only polls of responsive workers count, as those of failed ones say nothing about lost messages.
 void dispatcher::note_look(const worker_view& view, bool lost, monotonic_time now)
 {
-    const bool lives = view.contact.unheard_for(now) < m_settings.silent_after();
-    if (lives)
+    const bool responsive = view.contact.unheard_for(now) < m_settings.silent_after();
+    if (responsive)
     {
         m_lost_looks += look_weight * ((lost ? 1.0 : 0.0) - m_lost_looks);
     }
 }
 
-void dispatcher::take_look(worker_life_id worker, const look_answer& answer, monotonic_time sent,
-                           monotonic_time now)
+void dispatcher::handle_poll_answer(worker_life_id worker, const look_answer& answer, monotonic_time sent,
+                                    monotonic_time now)
 {
     worker_view* view = view_of(worker);
     if (view == nullptr)
@@ -107,14 +107,14 @@
     }
     const birth_ms known = m_state.find(worker)->facts.born;
     // An answer without a process start time does not come from this worker if its reports have one.
-    const bool foreign =
+    const bool from_other_process =
         answer.outcome == order_outcome::accepted && known != birth_ms{} && answer.born == birth_ms{};
-    const bool lost = answer.outcome == order_outcome::unanswered || foreign;
+    const bool lost = answer.outcome == order_outcome::unanswered || from_other_process;
     if (!never_left(answer.outcome)) // a poll that was not sent was not lost
     {
         note_look(*view, lost, now);
     }
-    if (answer.outcome != order_outcome::accepted || foreign)
+    if (answer.outcome != order_outcome::accepted || from_other_process)
     {
         // It may only be a broken connection, so the first failed poll is repeated at once.
         const bool at_once = lost && (looks_get_lost() || !view->contact.doubted());
@@ -400,17 +400,17 @@
 
 void dispatcher::drop_lost(monotonic_time now)
 {
-    bool seeks_answer = false;
+    bool leader_may_be_partitioned = false;
     for (auto& [id, view] : m_views)
     {
         const keep_reason kept = why_kept(view, m_hearing, now, m_settings);
-        seeks_answer = seeks_answer || kept == keep_reason::nobody_heard;
+        leader_may_be_partitioned = leader_may_be_partitioned || kept == keep_reason::nobody_heard;
         if (kept == keep_reason::none)
         {
             drop_worker_life(view, "lease expired without an answer", false, now);
         }
     }
-    if (seeks_answer)
+    if (leader_may_be_partitioned)
     {
         ask_a_resting_worker(now);
     }
--- a/src/fabric/core_calls.cpp
+++ b/src/fabric/core_calls.cpp
@@ -365,14 +365,14 @@
 void core_node::handle(const report_call& call, const call_handler& handler)
 {
     const std::string redirect = report_address_of_another(call.report.facts.id, monotonic_now());
-    m_dispatcher->take_report(call.report, monotonic_now(),
-                              [handler, redirect](bool counted)
-                              {
-                                  service_reply reply =
-                                      make_reply(counted ? reply_kind::done : reply_kind::unknown);
-                                  reply.redirect = redirect;
-                                  handler(std::move(reply));
-                              });
+    m_dispatcher->handle_report(call.report, monotonic_now(),
+                                [handler, redirect](bool counted)
+                                {
+                                    service_reply reply =
+                                        make_reply(counted ? reply_kind::done : reply_kind::unknown);
+                                    reply.redirect = redirect;
+                                    handler(std::move(reply));
+                                });
 }
 
 void core_node::handle(const leave_call& call, const call_handler& handler)
--- a/tests/src/pool_stand_in.hpp
+++ b/tests/src/pool_stand_in.hpp
@@ -111,15 +111,15 @@
     virtual void deliver(
         const worker_report& report, const std::function<void()>& then = [] {})
     {
-        m_leader->take_report(report, m_now,
-                              [this, report, then](bool counted)
-                              {
-                                  if (counted)
-                                  {
-                                      note_acknowledged(report);
-                                      then();
-                                  }
-                              });
+        m_leader->handle_report(report, m_now,
+                                [this, report, then](bool counted)
+                                {
+                                    if (counted)
+                                    {
+                                        note_acknowledged(report);
+                                        then();
+                                    }
+                                });
     }
     // A worker announces that it is terminating now; `then` is called when that is acknowledged.
     void leave(const std::string& life, const std::function<void()>& then)
