--- a/bench/bench_dispatch.cpp
+++ b/bench/bench_dispatch.cpp
@@ -20,7 +20,7 @@
         pool_settings settings;
         settings.workers = workers;
         pool_stand_in pool(settings);
-        pool.lead();
+        pool.start_leader();
         pool.run(seconds(1));
         std::mt19937_64 random(7);
         const double part = static_cast<double>(workers) / 350.0;
--- a/tests/src/advisor_stand_in.hpp
+++ b/tests/src/advisor_stand_in.hpp
@@ -28,7 +28,7 @@
     }
     [[nodiscard]] bool askers_idle() const
     {
-        return 2 * (m_asking + m_questions.size()) < m_settings.askers;
+        return 2 * (m_active_questions + m_questions.size()) < m_settings.askers;
     }
 
   private:
@@ -42,15 +42,15 @@
     // Starts queued queries while advisor client processes are free.
     void ask_next()
     {
-        while (!m_questions.empty() && (m_settings.askers == 0 || m_asking < m_settings.askers))
+        while (!m_questions.empty() && (m_settings.askers == 0 || m_active_questions < m_settings.askers))
         {
             const waiting_question next = m_questions.front();
             m_questions.pop_front();
-            ++m_asking;
+            ++m_active_questions;
             at(m_settings.question + next.question.incarnations.size() * duration(200),
                [this, next]
                {
-                   --m_asking;
+                   --m_active_questions;
                    answer_question(next);
                    ask_next();
                });
@@ -64,7 +64,7 @@
         answer.took_ms = std::chrono::duration_cast<milliseconds>(answer.took).count();
         for (const std::string& life : asked.question.incarnations)
         {
-            if (is_good(asked.question.step, life))
+            if (advisor_allows(asked.question.step, life))
             {
                 const monotonic_time from = m_settings.tickets_from_question ? asked.since : m_now;
                 m_tickets[{asked.question.step, life}] = from + milliseconds(1500);
@@ -75,7 +75,7 @@
     }
 
     std::deque<waiting_question> m_questions; // waiting for a free client process
-    std::size_t m_asking = 0;
+    std::size_t m_active_questions = 0;
 };
 
 } // namespace walkthread::test
--- a/tests/src/crash_day.hpp
+++ b/tests/src/crash_day.hpp
@@ -13,18 +13,18 @@
 struct crash_day
 {
     pool_stand_in pool;
-    std::vector<task_ref> poison;
+    std::vector<task_ref> crashing_tasks;
     std::vector<submission_id> ordinary;
 
     explicit crash_day(std::size_t hosts, std::uint64_t seed = 1, duration restart = seconds(3))
         : pool(settings(hosts, seed, restart))
     {
-        pool.lead();
+        pool.start_leader();
         pool.run(seconds(1));
     }
     static pool_settings settings(std::size_t hosts, std::uint64_t seed, duration restart)
     {
-        pool_settings out = small(hosts);
+        pool_settings out = small_pool_settings(hosts);
         out.seed = seed;
         out.restart = restart;
         return out;
@@ -33,7 +33,7 @@
     {
         const submission_id id = pool.submit(queue, std::move(steps));
         pool.crash_a_worker.insert(id);
-        poison.push_back({{id, round_id{0}, 0}, 0});
+        crashing_tasks.push_back({{id, round_id{0}, 0}, 0});
     }
     void submit_ordinary(const std::string& queue, std::vector<step_spec> steps)
     {
@@ -41,7 +41,7 @@
     }
     void check_poison_given_up()
     {
-        for (const task_ref& task : poison)
+        for (const task_ref& task : crashing_tasks)
         {
             BOOST_TEST(pool.starts_of(task) <= most_starts);
             BOOST_TEST(pool.crashes_under(task) >= 2U); // a single crash is not enough evidence
--- a/tests/src/narrow_pool.hpp
+++ b/tests/src/narrow_pool.hpp
@@ -22,9 +22,9 @@
     {
         expire();
     }
-    [[nodiscard]] std::size_t opened() const
+    [[nodiscard]] std::size_t connections_opened() const
     {
-        return m_opened;
+        return m_connections_opened;
     }
 
   protected:
@@ -45,7 +45,7 @@
   private:
     void begin(const pool_grant& grant)
     {
-        m_opened += grant.fresh ? 1 : 0;
+        m_connections_opened += grant.fresh ? 1 : 0;
         const auto [order, handler] = m_waiting.extract(grant.call).mapped();
         pool_stand_in::carry_look(
             order,
@@ -80,7 +80,7 @@
     connection_pool m_connections;
     std::map<pooled_call, std::pair<look_order, look_handler>> m_waiting;
     std::uint64_t m_calls = 0;
-    std::size_t m_opened = 0;
+    std::size_t m_connections_opened = 0;
 };
 
 } // namespace walkthread::test
--- a/tests/src/pool_stand_in.hpp
+++ b/tests/src/pool_stand_in.hpp
@@ -23,7 +23,7 @@
   public:
     explicit pool_stand_in(pool_settings settings) : advisor_stand_in(settings)
     {
-        report_all();
+        send_reports();
         m_take_down = [this](const std::string& life)
         {
             take_down_under_run(life);
@@ -61,7 +61,7 @@
     // -----------------------------------------------------------------------------------------------------
 
     // Starts a leader with a new term; a previous leader is removed.
-    void lead()
+    void start_leader()
     {
         m_leader.reset();
         ++m_term;
@@ -71,24 +71,24 @@
         m_leader = std::make_unique<dispatcher>(m_state, chosen, hooks(), *m_log, m_term, m_now);
         for (auto& [life, worker] : m_workers)
         {
-            if (!worker.gone && !worker.faults.reports_lost)
+            if (!worker.terminated && !worker.faults.reports_lost)
             {
                 report(life, worker.draining);
             }
         }
         m_pass_due = false;
-        m_leads_since = m_now;
+        m_leader_since = m_now;
         wake();
     }
     void unlead()
     {
         m_leader.reset();
-        m_leads_since.reset();
+        m_leader_since.reset();
     }
     // When the present leader became able to act; empty while there is none.
     [[nodiscard]] virtual std::optional<monotonic_time> works_since() const
     {
-        return m_leads_since;
+        return m_leader_since;
     }
     void report(const std::string& life, bool draining, std::int64_t remaining_ms = 3000)
     {
@@ -124,7 +124,7 @@
     // A worker announces that it is terminating now; `then` is called when that is acknowledged.
     void leave(const std::string& life, const std::function<void()>& then)
     {
-        m_workers[life].gone = true;
+        m_workers[life].terminated = true;
         m_workers[life].running.clear();
         m_leader->take_leave(life,
                              [then](bool counted)
@@ -164,23 +164,23 @@
     void crash(const std::string& life, const std::string& next, bool reports = true)
     {
         const std::string host = m_workers[life].facts.host;
-        m_workers[life].gone = true;
+        m_workers[life].terminated = true;
         m_workers[life].running.clear();
         add_worker(next, host, reports);
     }
     // The worker terminates permanently. From then on its machine refuses connections or does not respond.
-    void lose(const std::string& life, bool refuses)
+    void remove_worker(const std::string& life, bool refuses_connections)
     {
         sim_worker& worker = m_workers[life];
-        worker.gone = true;
-        worker.refuses = refuses;
+        worker.terminated = true;
+        worker.refuses_connections = refuses_connections;
         for (const auto& [run, state] : std::exchange(worker.running, {}))
         {
             break_gang(run);
         }
         if (auto handler = std::exchange(worker.waiting_look, nullptr); handler)
         {
-            at(refuses ? duration(m_settings.network_delay) : silence,
+            at(refuses_connections ? duration(m_settings.network_delay) : lost_answer_timeout,
                [handler]
                {
                    handler({order_outcome::unanswered, {}, 0, {}, {}});
@@ -193,8 +193,8 @@
     void restart(const std::string& life, duration down, bool silent = false, bool reports = true)
     {
         sim_worker& worker = m_workers[life];
-        worker.gone = true;
-        worker.refuses = !silent;
+        worker.terminated = true;
+        worker.refuses_connections = !silent;
         ++worker.look_number;
         for (const auto& [run, state] : std::exchange(worker.running, {}))
         {
@@ -203,7 +203,7 @@
         }
         if (auto handler = std::exchange(worker.waiting_look, nullptr); handler)
         {
-            at(silent ? silence : duration(m_settings.network_delay),
+            at(silent ? lost_answer_timeout : duration(m_settings.network_delay),
                [handler]
                {
                    handler({order_outcome::unanswered, {}, 0, {}, {}});
@@ -245,7 +245,7 @@
         at(m_settings.commit,
            [this, command]
            {
-               m_last_result = commit(command);
+               m_last_submit_result = commit(command);
                wake();
            });
         return id;
@@ -290,7 +290,7 @@
         at(m_settings.network_delay,
            [this, order, handler]
            {
-               take_look(order, handler);
+               handle_poll(order, handler);
            });
     }
     [[nodiscard]] std::uint64_t term() const
@@ -303,7 +303,7 @@
         return duration{0};
     }
     // Time until a pending poll fails when its connection is not closed.
-    static constexpr milliseconds silence{1700};
+    static constexpr milliseconds lost_answer_timeout{1700};
 
   private:
     // Ends the other members of a gang after one member was lost.
@@ -315,7 +315,7 @@
             const run_ref member{task_ref{lost.task.step, index}, lost.run};
             for (auto& [life, worker] : m_workers)
             {
-                if (!worker.gone && worker.running.contains(member))
+                if (!worker.terminated && worker.running.contains(member))
                 {
                     end(worker, member, run_end::broken);
                 }
@@ -331,8 +331,8 @@
             restart(life, m_settings.restart);
             return;
         }
-        worker.gone = true;
-        worker.refuses = true;
+        worker.terminated = true;
+        worker.refuses_connections = true;
         for (const auto& [run, state] : std::exchange(worker.running, {}))
         {
             ++m_crashes[run.task];
@@ -349,16 +349,16 @@
         at(m_settings.restart,
            [this, life, host = worker.facts.host]
            {
-               m_workers[life].refuses = false;
+               m_workers[life].refuses_connections = false;
                add_worker(life + "+", host);
            });
     }
     // Workers report every 1.5 s while a leader receives their reports.
-    void report_all()
+    void send_reports()
     {
         for (auto& [life, worker] : m_workers)
         {
-            if (m_leader && !worker.gone && !worker.faults.unresponsive && !worker.faults.reports_lost)
+            if (m_leader && !worker.terminated && !worker.faults.unresponsive && !worker.faults.reports_lost)
             {
                 report(life, worker.draining);
             }
@@ -366,7 +366,7 @@
         at(milliseconds(1500),
            [this]
            {
-               report_all();
+               send_reports();
            });
     }
     // Answers like the platform: success also if maintenance is already complete, rejection while the host is
@@ -380,13 +380,13 @@
         const auto here = std::find_if(m_workers.begin(), m_workers.end(),
                                        [&host](const auto& item)
                                        {
-                                           return item.second.facts.host == host && !item.second.gone;
+                                           return item.second.facts.host == host && !item.second.terminated;
                                        });
         if (here == m_workers.end())
         {
             return order_outcome::no_room;
         }
-        here->second.gone = true;
+        here->second.terminated = true;
         here->second.running.clear();
         m_upkept.insert(host);
         m_down_now.insert(host);
@@ -418,9 +418,9 @@
                {
                    return;
                }
-               if (const duration still = frozen_for(); still > duration{0})
+               if (const duration remaining = frozen_for(); remaining > duration{0})
                {
-                   pass_at(m_now + still);
+                   pass_at(m_now + remaining);
                    return;
                }
                m_pass_due = false;
@@ -468,7 +468,7 @@
             at(m_settings.network_delay,
                [this, order, handler]
                {
-                   take_start(order, handler, false);
+                   handle_start(order, handler, false);
                });
         };
         out.stop =
@@ -477,7 +477,7 @@
             at(m_settings.network_delay,
                [this, order, handler]
                {
-                   take_stop(order, handler);
+                   handle_stop(order, handler);
                });
         };
         out.pace =
@@ -522,13 +522,13 @@
   private:
     std::unique_ptr<decision_log> m_log = make_pool_log(m_settings);
     std::unique_ptr<dispatcher> m_leader;
-    std::optional<monotonic_time> m_leads_since;
+    std::optional<monotonic_time> m_leader_since;
     std::uint64_t m_term = 0;
     std::uint64_t m_next_id = 1000;
     bool m_pass_due = false;
     std::size_t m_passes = 0;
     std::size_t m_pass_number = 0; // number of the next pass
-    workload_result m_last_result;
+    workload_result m_last_submit_result;
 };
 
 } // namespace walkthread::test
--- a/tests/src/small_pool.hpp
+++ b/tests/src/small_pool.hpp
@@ -36,7 +36,7 @@
     return asked == nullptr ? 1 : std::strtoull(asked, nullptr, 10);
 }
 
-inline pool_settings small(std::size_t workers = 8)
+inline pool_settings small_pool_settings(std::size_t workers = 8)
 {
     pool_settings settings;
     settings.workers = workers;
@@ -45,11 +45,11 @@
 
 inline void check_unbroken(const pool_stand_in& pool)
 {
-    for (const std::string& line : pool.broken())
+    for (const std::string& line : pool.violations())
     {
         BOOST_TEST_MESSAGE(line);
     }
-    BOOST_TEST(pool.broken().empty());
+    BOOST_TEST(pool.violations().empty());
 }
 
 } // namespace walkthread::test
--- a/tests/src/standstill_check.hpp
+++ b/tests/src/standstill_check.hpp
@@ -51,7 +51,7 @@
         pool.every(between_looks,
                    [this]
                    {
-                       look();
+                       sample();
                    });
     }
     standstill_check(const standstill_check&) = delete;
@@ -82,31 +82,31 @@
     // Multiple of the capacity that the stalled tasks need.
     static constexpr std::uint32_t room_needed = 2;
     // Share of the capacity of the workers that may run the step.
-    static constexpr double most_used = 0.5;
+    static constexpr double max_used_share = 0.5;
 
-    struct room
+    struct capacity_sum
     {
-        std::uint64_t places{};
+        std::uint64_t slots{};
         resources used;
         resources total;
     };
 
-    struct stand
+    struct stall
     {
         monotonic_time since{};
         std::size_t starts{}; // at that time: a run may end between two samples
     };
 
-    void look()
+    void sample()
     {
         const auto works_since = m_pool.works_since();
         if (!works_since)
         {
-            m_since.clear();
+            m_stalls.clear();
             return;
         }
         find_runs();
-        std::map<task_ref, stand> next;
+        std::map<task_ref, stall> next;
         for (const auto& [id, owner] : m_pool.state().submissions())
         {
             for (std::uint32_t round = 0; !owner.final() && round < owner.rounds.size(); ++round)
@@ -114,43 +114,44 @@
                 look_at_round(owner, round_id{round}, *works_since, next);
             }
         }
-        m_since = std::move(next);
+        m_stalls = std::move(next);
     }
     void look_at_round(const submission& owner, round_id round, monotonic_time works_since,
-                       std::map<task_ref, stand>& next)
+                       std::map<task_ref, stall>& next)
     {
         const round_progress& progress = owner.rounds[round.value()];
         for (std::uint32_t step = 0; step < progress.steps.size(); ++step)
         {
             const step_spec& spec = owner.spec.steps[step];
-            const bool turn =
+            const bool ready =
                 owner.spec.due_at(round) == 0 && std::all_of(spec.after.begin(), spec.after.end(),
                                                              [&progress](std::uint32_t earlier)
                                                              {
                                                                  return progress.steps[earlier].complete();
                                                              });
             const std::vector<task_ref> stalled =
-                turn ? standing(spec, {owner.id, round, step}, progress.steps[step])
-                     : std::vector<task_ref>{};
-            if (!stalled.empty() && has_room(owner, spec, stalled))
+                ready ? stalled_tasks(spec, {owner.id, round, step}, progress.steps[step])
+                      : std::vector<task_ref>{};
+            if (!stalled.empty() && has_spare_capacity(owner, spec, stalled))
             {
-                note(spec, stalled, works_since, next);
+                record_stalls(spec, stalled, works_since, next);
             }
         }
     }
-    void note(const step_spec& spec, const std::vector<task_ref>& stalled, monotonic_time works_since,
-              std::map<task_ref, stand>& next)
+    void record_stalls(const step_spec& spec, const std::vector<task_ref>& stalled,
+                       monotonic_time works_since, std::map<task_ref, stall>& next)
     {
         for (const task_ref& task : stalled)
         {
             const std::size_t starts = starts_of(spec, task);
-            const auto known = m_since.find(task);
-            const bool same = known != m_since.end() && known->second.starts == starts;
+            const auto known = m_stalls.find(task);
+            const bool same = known != m_stalls.end() && known->second.starts == starts;
             const monotonic_time since = std::max(same ? known->second.since : m_pool.now(), works_since);
-            next.emplace(task, stand{since, starts});
-            const duration stood = m_pool.now() - since;
-            m_longest = std::max(m_longest, stood);
-            if (stood > m_bounds.of_task(spec.gang, is_suspect(task)) && m_told.insert(task).second)
+            next.emplace(task, stall{since, starts});
+            const duration stalled_for = m_pool.now() - since;
+            m_longest = std::max(m_longest, stalled_for);
+            if (stalled_for > m_bounds.of_task(spec.gang, is_suspect(task)) &&
+                m_reported_tasks.insert(task).second)
             {
                 m_found.push_back(name_of(task) +
                                   (spec.gang      ? " of a gang"
@@ -194,7 +195,7 @@
         {
             for (const auto& [run, state] : worker.running)
             {
-                if (!worker.gone && m_pool.lease_holds_on(life))
+                if (!worker.terminated && m_pool.lease_holds_on(life))
                 {
                     m_runs.insert(run);
                 }
@@ -207,8 +208,8 @@
         return found != m_runs.end() && found->task == task;
     }
     // All tasks of a gang, unless one run has all its members; otherwise each task without a run.
-    [[nodiscard]] std::vector<task_ref> standing(const step_spec& spec, const step_ref& step,
-                                                 const step_progress& progress) const
+    [[nodiscard]] std::vector<task_ref> stalled_tasks(const step_spec& spec, const step_ref& step,
+                                                      const step_progress& progress) const
     {
         std::vector<task_ref> out;
         for (std::uint32_t index = 0; index < spec.count; ++index)
@@ -232,32 +233,34 @@
     }
 
     // Whether the workers that may run the step have twice the capacity it needs and are mostly free.
-    [[nodiscard]] bool has_room(const submission& owner, const step_spec& spec,
-                                const std::vector<task_ref>& stalled) const
+    [[nodiscard]] bool has_spare_capacity(const submission& owner, const step_spec& spec,
+                                          const std::vector<task_ref>& stalled) const
     {
         const step_ref step = stalled.front().step;
         const bool advised = m_pool.state().find_queue(owner.queue)->advised;
-        room sum;
+        capacity_sum sum;
         for (const auto& [life, worker] : m_pool.workers())
         {
-            if (takes_work(worker) && (!advised || m_pool.is_good(step, life)))
+            if (takes_work(worker) && (!advised || m_pool.advisor_allows(step, life)))
             {
-                add_room(worker, spec, step, sum);
+                add_capacity(worker, spec, step, sum);
             }
         }
-        return sum.places >= room_needed * stalled.size() && dominant_share(sum.used, sum.total) < most_used;
+        return sum.slots >= room_needed * stalled.size() &&
+               dominant_share(sum.used, sum.total) < max_used_share;
     }
     template <class Worker>
     [[nodiscard]] static bool takes_work(const Worker& worker)
     {
         const worker_faults& wrong = worker.faults;
         const double chance = wrong.late + wrong.late_stops + wrong.poll_loss + wrong.refuse + wrong.unsent;
-        return !worker.gone && !worker.draining && !wrong.unresponsive && !wrong.polls_not_sent &&
+        return !worker.terminated && !worker.draining && !wrong.unresponsive && !wrong.polls_not_sent &&
                !wrong.rejects_looks && !wrong.reports_lost && !wrong.fails_all && !wrong.stands_still &&
                !wrong.resets && chance == 0.0;
     }
     template <class Worker>
-    void add_room(const Worker& worker, const step_spec& spec, const step_ref& step, room& sum) const
+    void add_capacity(const Worker& worker, const step_spec& spec, const step_ref& step,
+                      capacity_sum& sum) const
     {
         resources used;
         std::uint64_t here = 0;
@@ -268,18 +271,18 @@
             here += run.task.step == step ? 1 : 0;
         }
         const resources free = worker.facts.size - used;
-        std::uint64_t places = 0;
-        while (places < spec.count * room_needed &&
-               fits(spec.size * static_cast<std::int64_t>(places + 1), free))
+        std::uint64_t slots = 0;
+        while (slots < spec.count * room_needed &&
+               fits(spec.size * static_cast<std::int64_t>(slots + 1), free))
         {
-            ++places;
+            ++slots;
         }
         if (spec.per_host_limit > 0)
         {
-            places = std::min<std::uint64_t>(places, spec.per_host_limit -
-                                                         std::min<std::uint64_t>(spec.per_host_limit, here));
+            slots = std::min<std::uint64_t>(slots, spec.per_host_limit -
+                                                       std::min<std::uint64_t>(spec.per_host_limit, here));
         }
-        sum.places += places;
+        sum.slots += slots;
         sum.used += used;
         sum.total += worker.facts.size;
     }
@@ -287,8 +290,8 @@
     pool_stand_in& m_pool;
     standstill_bounds m_bounds;
     std::set<run_ref> m_runs;
-    std::map<task_ref, stand> m_since;
-    std::set<task_ref> m_told;
+    std::map<task_ref, stall> m_stalls;
+    std::set<task_ref> m_reported_tasks;
     std::vector<std::string> m_found;
     duration m_longest{};
 };
--- a/tests/src/troubled_pool.hpp
+++ b/tests/src/troubled_pool.hpp
@@ -19,13 +19,13 @@
 
     // Freezes the leader's process: until then it makes no pass and handles no answer and no report. Calls in
     // flight proceed.
-    void freeze(duration span)
+    void freeze_leader(duration span)
     {
         m_thaws = now() + span;
         m_frozen_term = term();
     }
     // Drops calls to the worker and messages from it for this time; its runs continue.
-    void cut_off(const std::string& life, duration span)
+    void isolate_worker(const std::string& life, duration span)
     {
         sim_worker& worker = m_workers[life];
         worker.faults.unresponsive = true;
@@ -33,7 +33,7 @@
         m_cut_until[life] = until;
         if (auto handler = std::exchange(worker.waiting_look, nullptr); handler)
         {
-            at(silence,
+            at(lost_answer_timeout,
                [handler]
                {
                    handler({order_outcome::unanswered, {}, 0, {}, {}});
@@ -85,19 +85,19 @@
 
   private:
     template <class Answer>
-    using taker = std::function<void(Answer)>;
+    using answer_handler = std::function<void(Answer)>;
 
     // Runs the work at once, or as soon as the current leader's process resumes; never if the leader is
     // replaced first.
     void when_thawed(const std::function<void()>& work)
     {
-        const duration still = frozen_for();
-        if (still == duration{0})
+        const duration remaining = frozen_for();
+        if (remaining == duration{0})
         {
             work();
             return;
         }
-        at(still,
+        at(remaining,
            [this, work, term = term()]
            {
                if (term == this->term() && narrow_pool::works_since())
@@ -107,7 +107,7 @@
            });
     }
     template <class Answer>
-    taker<Answer> thawed(const taker<Answer>& handler)
+    answer_handler<Answer> thawed(const answer_handler<Answer>& handler)
     {
         return [this, handler](Answer answer)
         {
@@ -119,9 +119,9 @@
         };
     }
     template <class Answer, class Call>
-    void delay_answers(std::function<void(Call, taker<Answer>)>& hook)
+    void delay_answers(std::function<void(Call, answer_handler<Answer>)>& hook)
     {
-        hook = [this, inner = hook](const Call& call, const taker<Answer>& handler)
+        hook = [this, inner = hook](const Call& call, const answer_handler<Answer>& handler)
         {
             inner(call, thawed<Answer>(handler));
         };
--- a/tests/src/unit-acknowledged.cpp
+++ b/tests/src/unit-acknowledged.cpp
@@ -11,7 +11,7 @@
 
 namespace
 {
-void load(pool_stand_in& pool, int submissions)
+void submit_load(pool_stand_in& pool, int submissions)
 {
     for (int i = 0; i < submissions; ++i)
     {
@@ -20,15 +20,15 @@
 }
 
 // The next leader receives no worker reports, since they still go to the address of the previous leader.
-void change_leader_unheard(pool_stand_in& pool, std::size_t workers, duration without)
+void change_leader_unheard(pool_stand_in& pool, std::size_t workers, duration leaderless)
 {
     for (std::size_t i = 0; i < workers; ++i)
     {
         pool.faults("w" + std::to_string(i)).reports_lost = true;
     }
     pool.unlead();
-    pool.run(without);
-    pool.lead();
+    pool.run(leaderless);
+    pool.start_leader();
 }
 } // namespace
 
@@ -42,8 +42,8 @@
 // acknowledged leaving state.
 BOOST_AUTO_TEST_CASE(a_life_that_comes_back_still_leaves)
 {
-    pool_stand_in pool(small(3));
-    pool.lead();
+    pool_stand_in pool(small_pool_settings(3));
+    pool.start_leader();
     pool.run(seconds(1));
     const worker_report held_back = pool.write_report("w0", false);
     pool.report("w0", true, 60'000);
@@ -54,7 +54,7 @@
     pool.faults("w0").unresponsive = false;
     pool.faults("w0").reports_lost = true;
     pool.deliver(held_back);
-    load(pool, 10);
+    submit_load(pool, 10);
     pool.run(seconds(3));
     check_unbroken(pool);
     BOOST_TEST(pool.starts_on("w0") == 0U);
@@ -65,8 +65,8 @@
 // accepts work. Such a run must be stopped and started elsewhere.
 BOOST_AUTO_TEST_CASE(an_order_is_not_sent_again_to_a_worker_that_leaves)
 {
-    pool_stand_in pool(small(2));
-    pool.lead();
+    pool_stand_in pool(small_pool_settings(2));
+    pool.start_leader();
     pool.run(seconds(1));
     pool.faults("w0").late = 1.0;
     const submission_id id = pool.submit("plain", {make_step(8, 4000, 300)});
@@ -82,8 +82,8 @@
 // The state machine itself rejects a start on a leaving worker, whoever planned it.
 BOOST_AUTO_TEST_CASE(a_start_on_a_worker_that_leaves_is_not_recorded)
 {
-    pool_stand_in pool(small(1));
-    pool.lead();
+    pool_stand_in pool(small_pool_settings(1));
+    pool.start_leader();
     pool.run(seconds(1));
     pool.report("w0", true, 60'000);
     pool.run(milliseconds(100));
@@ -97,8 +97,8 @@
 // A worker that revoked its announcement to leave is used by the next leader too.
 BOOST_AUTO_TEST_CASE(a_worker_that_stays_after_all_is_used_by_the_next_leader)
 {
-    pool_stand_in pool(small(1));
-    pool.lead();
+    pool_stand_in pool(small_pool_settings(1));
+    pool.start_leader();
     pool.run(seconds(1));
     pool.report("w0", true, 60'000);
     pool.run(milliseconds(100));
@@ -111,7 +111,7 @@
     pool.run(milliseconds(100));
     BOOST_REQUIRE(acknowledged);
     change_leader_unheard(pool, 1, milliseconds(400));
-    load(pool, 1);
+    submit_load(pool, 1);
     pool.run(seconds(2));
     BOOST_TEST(pool.starts_on("w0") == 4U);
     check_unbroken(pool);
@@ -137,12 +137,12 @@
 // loss of the leader right after it.
 void play_calm_day(acknowledged_kind kind, std::uint64_t seed)
 {
-    pool_settings settings = small(6);
+    pool_settings settings = small_pool_settings(6);
     settings.seed = seed;
     settings.upkeep = seconds(2);
     pool_stand_in pool(settings);
     std::mt19937_64 random(seed * 131);
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(1));
     std::vector<submission_id> all;
     for (int i = 0; i < 6; ++i)
@@ -151,12 +151,12 @@
     }
     pool.run(milliseconds(static_cast<std::int64_t>(20 + random() % 2500)));
     const std::string life = "w" + std::to_string(random() % 6);
-    const duration without = milliseconds(static_cast<std::int64_t>(random() % 1500));
+    const duration leaderless = milliseconds(static_cast<std::int64_t>(random() % 1500));
     bool acknowledged = false;
-    const auto change = [&pool, &acknowledged, without]
+    const auto change = [&pool, &acknowledged, leaderless]
     {
         acknowledged = true;
-        change_leader_unheard(pool, 6, without);
+        change_leader_unheard(pool, 6, leaderless);
     };
     switch (kind)
     {
@@ -208,7 +208,7 @@
     BOOST_TEST_CONTEXT("kind " << static_cast<int>(kind) << " seed " << seed)
     {
         check_unbroken(pool);
-        BOOST_TEST((pool.longest_after_cancel() < without + milliseconds(600))); // 200 ms for a stop
+        BOOST_TEST((pool.longest_after_cancel() < leaderless + milliseconds(600))); // 200 ms for a stop
         BOOST_TEST(pool.most_down() <= 1U);
         BOOST_TEST((kind != acknowledged_kind::upkeep || pool.state().waves().at(1).complete()));
         for (const submission_id id : all)
@@ -243,8 +243,8 @@
 // leader that knew only the first announcement, and tasks were started on a leaving worker.
 BOOST_AUTO_TEST_CASE(an_older_report_does_not_take_back_a_leave_that_was_said_again)
 {
-    pool_stand_in pool(small(2));
-    pool.lead();
+    pool_stand_in pool(small_pool_settings(2));
+    pool.start_leader();
     pool.run(seconds(1));
     pool.report("w1", true, 60'000);
     pool.run(milliseconds(100));
@@ -252,11 +252,11 @@
     pool.report("w1", true, 60'000);
     pool.run(milliseconds(100));
     pool.faults("w1").reports_lost = true; // none of its later reports arrives in time
-    pool.lead();
+    pool.start_leader();
     pool.run(milliseconds(500));
     pool.deliver(late);
     pool.run(seconds(4)); // beyond the drain bound after the acknowledgement
-    load(pool, 8);
+    submit_load(pool, 8);
     pool.run(seconds(2));
     check_unbroken(pool);
 }
@@ -267,7 +267,7 @@
 {
     for (std::uint64_t seed = first_seed(); seed < first_seed() + seed_count(150); ++seed)
     {
-        pool_settings settings = small(6);
+        pool_settings settings = small_pool_settings(6);
         settings.seed = seed;
         pool_stand_in pool(settings);
         std::mt19937_64 random(seed * 7919);
@@ -276,7 +276,7 @@
             return random() % below;
         };
         std::vector<worker_report> held_back;
-        pool.lead();
+        pool.start_leader();
         pool.run(seconds(1));
         for (int step = 0; step < 120; ++step)
         {
@@ -318,11 +318,11 @@
                     {
                         pool.run(milliseconds(1));
                     }
-                    pool.lead();
+                    pool.start_leader();
                 }
                 break;
             default:
-                load(pool, 2);
+                submit_load(pool, 2);
             }
             pool.run(milliseconds(static_cast<std::int64_t>(draw(500))));
         }
@@ -344,10 +344,10 @@
 // finished.
 BOOST_AUTO_TEST_CASE(a_wave_ends_although_the_leader_is_lost_right_after_an_upkeep_began)
 {
-    pool_settings settings = small(3);
+    pool_settings settings = small_pool_settings(3);
     settings.upkeep = seconds(2);
     pool_stand_in pool(settings);
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(1));
     pool.begin_upkeep({"h0", "h1"}, 30, 1);
     while (pool.most_down() == 0)
@@ -356,7 +356,7 @@
     }
     pool.unlead();
     pool.run(milliseconds(400));
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(20));
     BOOST_TEST(pool.state().waves().at(1).complete());
     BOOST_TEST(pool.most_down() == 1U);
@@ -366,10 +366,10 @@
 // completed. The next leader saw both tasks running and stopped the other one.
 BOOST_AUTO_TEST_CASE(a_stop_of_the_last_leader_counts_as_away)
 {
-    pool_settings settings = small(2);
+    pool_settings settings = small_pool_settings(2);
     settings.upkeep = seconds(2);
     pool_stand_in pool(settings);
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(1));
     step_spec lasting = make_step(2, 9000, 0);
     lasting.lasting = true;
@@ -381,7 +381,7 @@
     pool.begin_upkeep({"h1"}, 60, 1, 2);
     pool.run(milliseconds(60)); // the stop order for one of them is sent
     pool.begin_upkeep({"h0"}, 60, 1, 1);
-    pool.lead();
+    pool.start_leader();
     std::size_t least = 2;
     for (int ms = 0; ms < 400; ++ms)
     {
@@ -403,10 +403,10 @@
 // cancellation.
 duration cancel_late_starts(std::uint64_t seed, bool other_leader, double late_stops)
 {
-    pool_settings settings = small(4);
+    pool_settings settings = small_pool_settings(4);
     settings.seed = seed;
     pool_stand_in pool(settings);
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(1));
     for (int i = 0; i < 4; ++i)
     {
@@ -425,7 +425,7 @@
     {
         pool.unlead();
         pool.run(milliseconds(static_cast<std::int64_t>(seed * 61 % 1200)));
-        pool.lead();
+        pool.start_leader();
     }
     for (const submission_id id : all)
     {
--- a/tests/src/unit-crash-days.cpp
+++ b/tests/src/unit-crash-days.cpp
@@ -25,8 +25,8 @@
                 return random() % below;
             };
             const std::size_t hosts = draw(2) == 0 ? 48 : 24;
-            crash_day day(hosts, seed, milliseconds(2000 + static_cast<std::int64_t>(draw(6)) * 1000));
-            const standstill_check stalls(day.pool);
+            crash_day scenario(hosts, seed, milliseconds(2000 + static_cast<std::int64_t>(draw(6)) * 1000));
+            const standstill_check stalls(scenario.pool);
             const std::uint64_t percent = std::array{1, 5, 30}.at(seed % 3);
             for (int i = 0; i < 60; ++i)
             {
@@ -37,21 +37,21 @@
                 const std::string queue = kind == 0 ? "urgent" : kind == 1 ? "batch" : "gangs";
                 if (draw(100) < percent)
                 {
-                    day.submit_poison(queue, std::move(steps));
+                    scenario.submit_poison(queue, std::move(steps));
                 }
                 else
                 {
-                    day.submit_ordinary(queue, std::move(steps));
+                    scenario.submit_ordinary(queue, std::move(steps));
                 }
-                day.pool.run(milliseconds(300));
+                scenario.pool.run(milliseconds(300));
                 if (draw(20) == 0)
                 {
-                    day.pool.lead();
+                    scenario.pool.start_leader();
                 }
             }
-            day.pool.run(seconds(90));
-            day.check_poison_given_up();
-            day.check_ordinary_completed();
+            scenario.pool.run(seconds(90));
+            scenario.check_poison_given_up();
+            scenario.check_ordinary_completed();
             stalls.check();
         }
     }
--- a/tests/src/unit-crash-loops.cpp
+++ b/tests/src/unit-crash-loops.cpp
@@ -15,17 +15,17 @@
 
 BOOST_AUTO_TEST_CASE(a_task_that_crashes_its_workers_is_given_up)
 {
-    crash_day day(12);
-    day.submit_poison("plain", {make_step(2, 1400, 1000)});
-    day.submit_poison("plain", {make_step(2, 1400, 1000)});
+    crash_day scenario(12);
+    scenario.submit_poison("plain", {make_step(2, 1400, 1000)});
+    scenario.submit_poison("plain", {make_step(2, 1400, 1000)});
     for (int i = 0; i < 30; ++i)
     {
-        day.submit_ordinary("plain", {make_step(2, 1400, 1000)});
-        day.pool.run(seconds(1));
+        scenario.submit_ordinary("plain", {make_step(2, 1400, 1000)});
+        scenario.pool.run(seconds(1));
     }
-    day.pool.run(seconds(20));
-    day.check_poison_given_up();
-    day.check_ordinary_completed();
+    scenario.pool.run(seconds(20));
+    scenario.check_poison_given_up();
+    scenario.check_ordinary_completed();
 }
 
 // A host whose worker process has ended refuses orders for seconds, and since nothing runs there it looks
@@ -33,65 +33,65 @@
 // orders are refused.
 BOOST_AUTO_TEST_CASE(work_goes_elsewhere_as_soon_as_a_worker_is_down)
 {
-    crash_day day(4);
-    day.submit_poison("plain", {make_step(1, 1400, 1000)});
-    day.pool.run(milliseconds(100));
-    const submission_id id = day.pool.submit("plain", {make_step(2, 1400, 500)});
-    day.pool.run(milliseconds(700));
-    BOOST_TEST((day.pool.phase(id) == submission_phase::completed));
+    crash_day scenario(4);
+    scenario.submit_poison("plain", {make_step(1, 1400, 1000)});
+    scenario.pool.run(milliseconds(100));
+    const submission_id id = scenario.pool.submit("plain", {make_step(2, 1400, 500)});
+    scenario.pool.run(milliseconds(700));
+    BOOST_TEST((scenario.pool.phase(id) == submission_phase::completed));
 }
 
 // The crash evidence of a task survives leader changes.
 BOOST_AUTO_TEST_CASE(a_task_that_crashes_its_workers_is_given_up_whoever_leads)
 {
-    crash_day day(12);
-    day.submit_poison("plain", {make_step(2, 1400, 1000)});
+    crash_day scenario(12);
+    scenario.submit_poison("plain", {make_step(2, 1400, 1000)});
     for (int i = 0; i < 10; ++i)
     {
-        day.submit_ordinary("plain", {make_step(2, 1400, 1000)});
-        day.pool.run(milliseconds(4700));
-        day.pool.lead();
+        scenario.submit_ordinary("plain", {make_step(2, 1400, 1000)});
+        scenario.pool.run(milliseconds(4700));
+        scenario.pool.start_leader();
     }
-    day.pool.run(seconds(20));
-    day.check_poison_given_up();
-    day.check_ordinary_completed();
+    scenario.pool.run(seconds(20));
+    scenario.check_poison_given_up();
+    scenario.check_ordinary_completed();
 }
 
 // The advisor approves only some hosts for each step, and tickets for them expire.
 BOOST_AUTO_TEST_CASE(such_a_task_is_given_up_on_an_advised_queue_and_in_a_gang)
 {
-    crash_day day(24);
-    day.submit_poison("urgent", {make_step(2, 1400, 1000)});
-    day.submit_poison("batch", {make_step(10, 980, 2000)});
-    day.submit_poison("gangs", {make_step(6, 4500, 2000, true)});
+    crash_day scenario(24);
+    scenario.submit_poison("urgent", {make_step(2, 1400, 1000)});
+    scenario.submit_poison("batch", {make_step(10, 980, 2000)});
+    scenario.submit_poison("gangs", {make_step(6, 4500, 2000, true)});
     for (int i = 0; i < 30; ++i)
     {
-        day.submit_ordinary("urgent", {make_step(2, 1400, 1000)});
-        day.submit_ordinary("batch", {make_step(4, 980, 2000)});
-        day.pool.run(seconds(1));
+        scenario.submit_ordinary("urgent", {make_step(2, 1400, 1000)});
+        scenario.submit_ordinary("batch", {make_step(4, 980, 2000)});
+        scenario.pool.run(seconds(1));
     }
-    day.pool.run(seconds(30));
-    day.check_poison_given_up();
-    day.check_ordinary_completed();
+    scenario.pool.run(seconds(30));
+    scenario.check_poison_given_up();
+    scenario.check_ordinary_completed();
 }
 
 // Such tasks were restarted one per host, with a delay for each host that the advisor had named.
 BOOST_AUTO_TEST_CASE(a_step_that_was_lost_with_its_host_starts_again_at_once)
 {
     const standstill_bounds bounds;
-    crash_day day(24);
-    const submission_id id = day.pool.submit("batch", {make_step(10, 980, 5000)});
-    day.pool.run(milliseconds(300));
+    crash_day scenario(24);
+    const submission_id id = scenario.pool.submit("batch", {make_step(10, 980, 5000)});
+    scenario.pool.run(milliseconds(300));
     const task_ref first{{id, round_id{0}, 0}, 0};
-    const worker_life_id there = day.pool.state().find(first)->worker;
-    BOOST_REQUIRE(day.pool.state().find(there)->occupied.size() == 10U);
-    day.pool.crash(day.pool.state().find(there)->facts.id, "next");
-    day.pool.run(bounds.drop_and_commit + bounds.question + bounds.start);
+    const worker_life_id there = scenario.pool.state().find(first)->worker;
+    BOOST_REQUIRE(scenario.pool.state().find(there)->occupied.size() == 10U);
+    scenario.pool.crash(scenario.pool.state().find(there)->facts.id, "next");
+    scenario.pool.run(bounds.drop_and_commit + bounds.question + bounds.start);
     for (std::uint32_t index = 0; index < 10; ++index)
     {
-        BOOST_TEST(day.pool.starts_of({first.step, index}) == 2U);
+        BOOST_TEST(scenario.pool.starts_of({first.step, index}) == 2U);
     }
-    BOOST_TEST(day.pool.state().crashes().suspects().size() == 10U);
+    BOOST_TEST(scenario.pool.state().crashes().suspects().size() == 10U);
 }
 
 // A leader that took over right after a crash assumed that the run might never have begun.
@@ -99,17 +99,17 @@
 {
     for (const bool twice : {false, true})
     {
-        crash_day day(4);
-        day.submit_poison("plain", {make_step(1, 1400, 1000)});
-        day.pool.run(milliseconds(200));
-        day.pool.lead();
+        crash_day scenario(4);
+        scenario.submit_poison("plain", {make_step(1, 1400, 1000)});
+        scenario.pool.run(milliseconds(200));
+        scenario.pool.start_leader();
         if (twice)
         {
-            day.pool.run(milliseconds(100));
-            day.pool.lead();
+            scenario.pool.run(milliseconds(100));
+            scenario.pool.start_leader();
         }
-        day.pool.run(milliseconds(3500));
-        const suspicion* against = day.pool.state().crashes().find(day.poison.front());
+        scenario.pool.run(milliseconds(3500));
+        const suspicion* against = scenario.pool.state().crashes().find(scenario.crashing_tasks.front());
         BOOST_REQUIRE(against != nullptr);
         BOOST_TEST(against->crashes == 1U);
         BOOST_TEST(against->unclear == 0U);
@@ -121,28 +121,28 @@
 // long before the worker was lost.
 BOOST_AUTO_TEST_CASE(what_was_known_of_a_worker_that_answers_again_is_forgotten)
 {
-    crash_day day(1);
-    day.submit_ordinary("plain", {make_step(1, 1400, 30000)});
-    day.pool.run(milliseconds(100));
-    const worker_life& worker = *day.pool.state().find_host("h0");
+    crash_day scenario(1);
+    scenario.submit_ordinary("plain", {make_step(1, 1400, 30000)});
+    scenario.pool.run(milliseconds(100));
+    const worker_life& worker = *scenario.pool.state().find_host("h0");
     BOOST_REQUIRE(worker.occupied.size() == 1U);
     const run_ref run = worker.occupied.begin()->first;
-    day.pool.state().apply(0, note_last_word{worker.id, {{run, true, blame::sole, {}, false}}});
-    day.pool.run(milliseconds(1200)); // a poll is held open for 1 s
-    BOOST_TEST(day.pool.state().find_host("h0")->last_word.empty());
+    scenario.pool.state().apply(0, note_last_word{worker.id, {{run, true, blame::sole, {}, false}}});
+    scenario.pool.run(milliseconds(1200)); // a poll is held open for 1 s
+    BOOST_TEST(scenario.pool.state().find_host("h0")->last_word.empty());
 }
 
 // Its end may have gone unreported, as run time estimates can be far off.
 BOOST_AUTO_TEST_CASE(a_run_that_may_have_been_over_counts_as_no_sure_crash)
 {
-    crash_day day(1);
-    const submission_id id = day.pool.submit("plain", {make_step(1, 1400, 3000)});
-    day.pool.run(milliseconds(100));
-    day.pool.faults("w0").unresponsive = true;
-    day.pool.run(milliseconds(2500));
-    day.pool.crash("w0", "next");
-    day.pool.run(milliseconds(500));
-    const suspicion* against = day.pool.state().crashes().find({{id, round_id{0}, 0}, 0});
+    crash_day scenario(1);
+    const submission_id id = scenario.pool.submit("plain", {make_step(1, 1400, 3000)});
+    scenario.pool.run(milliseconds(100));
+    scenario.pool.faults("w0").unresponsive = true;
+    scenario.pool.run(milliseconds(2500));
+    scenario.pool.crash("w0", "next");
+    scenario.pool.run(milliseconds(500));
+    const suspicion* against = scenario.pool.state().crashes().find({{id, round_id{0}, 0}, 0});
     BOOST_REQUIRE(against != nullptr);
     BOOST_TEST(against->crashes == 0U);
     BOOST_TEST(against->unclear == 1U);
@@ -151,13 +151,13 @@
 // A long-running task runs until it is cancelled, whatever happens to its hosts.
 BOOST_AUTO_TEST_CASE(a_lasting_task_is_not_given_up)
 {
-    crash_day day(12);
+    crash_day scenario(12);
     step_spec step = make_step(1, 1400, 1000);
     step.lasting = true;
-    const submission_id id = day.pool.submit("plain", {step});
-    day.pool.crash_a_worker.insert(id);
-    day.pool.run(seconds(60));
-    BOOST_TEST((day.pool.phase(id) == submission_phase::running));
-    BOOST_TEST(day.pool.starts_of({{id, round_id{0}, 0}, 0}) >= 10U);
-    BOOST_TEST(day.pool.state().crashes().suspects().empty());
+    const submission_id id = scenario.pool.submit("plain", {step});
+    scenario.pool.crash_a_worker.insert(id);
+    scenario.pool.run(seconds(60));
+    BOOST_TEST((scenario.pool.phase(id) == submission_phase::running));
+    BOOST_TEST(scenario.pool.starts_of({{id, round_id{0}, 0}, 0}) >= 10U);
+    BOOST_TEST(scenario.pool.state().crashes().suspects().empty());
 }
--- a/tests/src/unit-cut-off-leaders.cpp
+++ b/tests/src/unit-cut-off-leaders.cpp
@@ -31,8 +31,8 @@
 {
     for (int more = 0; more < 1000; more += 50)
     {
-        pool_stand_in pool(small(4));
-        pool.lead();
+        pool_stand_in pool(small_pool_settings(4));
+        pool.start_leader();
         pool.run(seconds(1));
         std::vector<submission_id> all;
         for (int i = 0; i < 8; ++i) // runs end, and polls return, at different times
@@ -60,8 +60,8 @@
 // again for the duration of its lease.
 BOOST_AUTO_TEST_CASE(one_lost_connection_does_not_condemn_a_worker_that_is_not_asked_again)
 {
-    pool_stand_in pool(small(2));
-    pool.lead();
+    pool_stand_in pool(small_pool_settings(2));
+    pool.start_leader();
     pool.run(seconds(1));
     const submission_id id = pool.submit("plain", {make_step(1, 1000, 1000)});
     pool.run(milliseconds(200));
@@ -69,7 +69,7 @@
     pool.unlead();
     pool.run(milliseconds(300));
     pool.faults(at).unresponsive = true;
-    pool.lead();
+    pool.start_leader();
     pool.run(milliseconds(710)); // one connection attempt
     pool.faults(at).unresponsive = false;
     pool.faults(at).polls_not_sent = true;
@@ -88,9 +88,9 @@
 {
     for (int delay = 0; delay <= 2400; delay += 100)
     {
-        pool_settings settings = small(2);
+        pool_settings settings = small_pool_settings(2);
         pool_stand_in pool(settings);
-        pool.lead();
+        pool.start_leader();
         pool.run(seconds(1));
         const submission_id first = pool.submit("plain", {make_step(1, 16000, 4000)});
         pool.run(milliseconds(200));
--- a/tests/src/unit-dispatch.cpp
+++ b/tests/src/unit-dispatch.cpp
@@ -9,8 +9,8 @@
 
 BOOST_AUTO_TEST_CASE(work_of_every_kind_is_done_once)
 {
-    pool_stand_in pool(small());
-    pool.lead();
+    pool_stand_in pool(small_pool_settings());
+    pool.start_leader();
     std::vector<submission_id> all;
     step_spec second = make_step(3, 2000, 500);
     second.after = {0};
@@ -33,8 +33,8 @@
 
 BOOST_AUTO_TEST_CASE(an_urgent_submission_starts_within_a_question_and_two_commits)
 {
-    pool_stand_in pool(small());
-    pool.lead();
+    pool_stand_in pool(small_pool_settings());
+    pool.start_leader();
     pool.run(seconds(1));
     const submission_id id = pool.submit("urgent", {make_step(2, 1400, 300)});
     pool.run(milliseconds(60)); // 10 ms to accept, 12 to ask, 10 to record, 1 in transit, 2 between passes
@@ -43,14 +43,14 @@
 
 BOOST_AUTO_TEST_CASE(a_new_leader_takes_running_work_over)
 {
-    pool_stand_in pool(small());
-    pool.lead();
+    pool_stand_in pool(small_pool_settings());
+    pool.start_leader();
     pool.run(seconds(1));
     const submission_id id = pool.submit("plain", {make_step(12, 2000, 3000)});
     pool.run(milliseconds(500));
     pool.unlead();
     pool.run(milliseconds(1200));
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(6));
     BOOST_TEST((pool.phase(id) == submission_phase::completed));
     for (std::uint32_t i = 0; i < 12; ++i)
@@ -62,8 +62,8 @@
 
 BOOST_AUTO_TEST_CASE(a_dark_worker_gives_its_work_back_only_after_its_lease)
 {
-    pool_stand_in pool(small(2));
-    pool.lead();
+    pool_stand_in pool(small_pool_settings(2));
+    pool.start_leader();
     pool.run(seconds(1));
     const submission_id id = pool.submit("plain", {make_step(8, 4000, 2000)});
     pool.run(milliseconds(300));
@@ -76,8 +76,8 @@
 
 BOOST_AUTO_TEST_CASE(a_new_life_of_a_host_gives_its_work_back_at_once)
 {
-    pool_stand_in pool(small(2));
-    pool.lead();
+    pool_stand_in pool(small_pool_settings(2));
+    pool.start_leader();
     pool.run(seconds(1));
     const submission_id id = pool.submit("plain", {make_step(4, 4000, 1000)});
     pool.run(milliseconds(300));
@@ -89,12 +89,12 @@
 
 BOOST_AUTO_TEST_CASE(orders_carried_out_late_start_nothing_twice)
 {
-    pool_stand_in pool(small(6));
+    pool_stand_in pool(small_pool_settings(6));
     for (int i = 0; i < 6; ++i)
     {
         pool.faults("w" + std::to_string(i)).late = 0.5;
     }
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(1));
     std::vector<submission_id> all;
     for (int i = 0; i < 20; ++i)
@@ -111,8 +111,8 @@
 
 BOOST_AUTO_TEST_CASE(a_draining_worker_gets_nothing_new)
 {
-    pool_stand_in pool(small(3));
-    pool.lead();
+    pool_stand_in pool(small_pool_settings(3));
+    pool.start_leader();
     pool.run(seconds(1));
     pool.report("w0", true, 60'000);
     const std::size_t before = pool.starts_on("w0");
@@ -127,9 +127,9 @@
 
 BOOST_AUTO_TEST_CASE(a_worker_that_fails_everything_is_avoided)
 {
-    pool_stand_in pool(small(6));
+    pool_stand_in pool(small_pool_settings(6));
     pool.faults("w0").fails_all = true;
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(1));
     for (int i = 0; i < 60; ++i)
     {
@@ -142,8 +142,8 @@
 
 BOOST_AUTO_TEST_CASE(a_submission_that_always_fails_ends_as_failed)
 {
-    pool_stand_in pool(small(6));
-    pool.lead();
+    pool_stand_in pool(small_pool_settings(6));
+    pool.start_leader();
     pool.run(seconds(1));
     const submission_id single = pool.submit("plain", {make_step(1, 1000, 300)});
     const submission_id gang = pool.submit("gangs", {make_step(4, 4500, 500, true)});
@@ -158,10 +158,10 @@
 // because the workers where it had failed still counted as available.
 BOOST_AUTO_TEST_CASE(a_gang_is_tried_again_where_it_failed_if_nothing_else_is_left)
 {
-    pool_settings settings = small(4);
+    pool_settings settings = small_pool_settings(4);
     settings.good_share = 1.0;
     pool_stand_in pool(settings);
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(1));
     const submission_id gang = pool.submit("gangs", {make_step(9, 4500, 500, true)});
     pool.always_fails = {gang};
@@ -172,10 +172,10 @@
 // Gangs waited for up to 34 s while small tasks filled every host.
 BOOST_AUTO_TEST_CASE(gangs_get_hosts_under_a_load_of_small_tasks)
 {
-    pool_settings settings = small(16);
+    pool_settings settings = small_pool_settings(16);
     settings.good_share = 0.4;
     pool_stand_in pool(settings);
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(1));
     std::vector<submission_id> gangs;
     for (int i = 0; i < 200; ++i)
@@ -201,8 +201,8 @@
 // Stops were repeated in each pass for runs that had already ended: 3,000 in 30 s.
 BOOST_AUTO_TEST_CASE(an_ended_run_of_a_cancelled_submission_is_not_stopped_again)
 {
-    pool_stand_in pool(small(4));
-    pool.lead();
+    pool_stand_in pool(small_pool_settings(4));
+    pool.start_leader();
     pool.run(seconds(1));
     step_spec lasting = make_step(3, 1000, 0);
     lasting.lasting = true;
@@ -221,12 +221,12 @@
 // a rejection, and the run was wrongly treated as never started.
 BOOST_AUTO_TEST_CASE(a_start_that_was_sent_twice_is_not_taken_for_refused)
 {
-    pool_stand_in pool(small(3));
+    pool_stand_in pool(small_pool_settings(3));
     for (int i = 0; i < 3; ++i)
     {
         pool.faults("w" + std::to_string(i)).resets = true;
     }
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(1));
     std::vector<submission_id> all;
     for (int i = 0; i < 10; ++i)
@@ -244,9 +244,9 @@
 
 BOOST_AUTO_TEST_CASE(a_run_that_stands_still_is_started_elsewhere)
 {
-    pool_stand_in pool(small(4));
+    pool_stand_in pool(small_pool_settings(4));
     pool.faults("w0").stands_still = true;
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(1));
     std::vector<submission_id> all;
     for (int i = 0; i < 8; ++i)
@@ -263,8 +263,8 @@
 
 BOOST_AUTO_TEST_CASE(lasting_tasks_come_back_after_their_worker_died)
 {
-    pool_stand_in pool(small(3));
-    pool.lead();
+    pool_stand_in pool(small_pool_settings(3));
+    pool.start_leader();
     pool.run(seconds(1));
     step_spec lasting = make_step(3, 4000, 0);
     lasting.lasting = true;
@@ -282,10 +282,10 @@
 // Previously the advisor was repeatedly queried about the hosts at their limit.
 BOOST_AUTO_TEST_CASE(a_lasting_task_comes_back_beside_a_limit_a_host)
 {
-    pool_settings settings = small(20);
+    pool_settings settings = small_pool_settings(20);
     settings.good_share = 1.0;
     pool_stand_in pool(settings);
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(1));
     step_spec lasting = make_step(8, 1000, 0);
     lasting.lasting = true;
@@ -305,8 +305,8 @@
 // s.
 BOOST_AUTO_TEST_CASE(ends_are_seen_soon_although_looks_get_lost)
 {
-    pool_stand_in pool(small());
-    pool.lead();
+    pool_stand_in pool(small_pool_settings());
+    pool.start_leader();
     pool.run(seconds(1));
     for (int i = 0; i < 8; ++i)
     {
@@ -339,7 +339,7 @@
 {
     for (std::uint64_t seed = first; seed < first + count; ++seed)
     {
-        pool_settings settings = small(10);
+        pool_settings settings = small_pool_settings(10);
         settings.seed = seed;
         settings.mechanisms = mechanisms;
         settings.good_share = 0.85; // so that enough hosts are approved for each gang
@@ -350,7 +350,7 @@
         {
             return random() % below;
         };
-        pool.lead();
+        pool.start_leader();
         pool.run(seconds(1));
         std::vector<submission_id> all;
         int incarnation_count = 0;
@@ -385,7 +385,7 @@
             case 4:
                 pool.unlead();
                 pool.run(milliseconds(300 + draw(2500)));
-                pool.lead();
+                pool.start_leader();
                 break;
             case 5:
                 if (!all.empty())
--- a/tests/src/unit-fleet-connections.cpp
+++ b/tests/src/unit-fleet-connections.cpp
@@ -16,7 +16,7 @@
 // The same ratio of workers to connections as with 3,000 workers, a third of which have tasks.
 pool_settings crowded()
 {
-    pool_settings settings = small(300);
+    pool_settings settings = small_pool_settings(300);
     settings.look_connections = 116;
     return settings;
 }
@@ -33,7 +33,7 @@
 // Runs a task on one of two workers, which then cannot be polled for longer than any lease.
 void leave_unasked(pool_stand_in& pool, const std::function<void()>& meanwhile)
 {
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(1));
     const submission_id id = pool.submit("plain", {make_step(1, 1000, 1000)});
     pool.run(milliseconds(200));
@@ -51,19 +51,19 @@
 
 BOOST_AUTO_TEST_CASE(a_worker_that_was_not_asked_is_not_given_up)
 {
-    pool_stand_in pool(small(2));
+    pool_stand_in pool(small_pool_settings(2));
     leave_unasked(pool, [] {});
 }
 
 BOOST_AUTO_TEST_CASE(a_new_leader_gives_up_no_worker_that_it_could_not_ask)
 {
-    pool_stand_in pool(small(2));
+    pool_stand_in pool(small_pool_settings(2));
     leave_unasked(pool,
                   [&pool]
                   {
                       pool.unlead();
                       pool.run(milliseconds(700));
-                      pool.lead();
+                      pool.start_leader();
                   });
 }
 
@@ -71,12 +71,12 @@
 {
     narrow_pool pool(crowded());
     const standstill_check stalls(pool);
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(4));
     std::vector<submission_id> all;
-    const std::size_t before = pool.opened();
+    const std::size_t before = pool.connections_opened();
     hand_in(pool, all, 300); // 18 s
-    const double opened_a_second = static_cast<double>(pool.opened() - before) / 18.0;
+    const double opened_a_second = static_cast<double>(pool.connections_opened() - before) / 18.0;
     BOOST_TEST(opened_a_second < 0.2 * 300); // 600 at 3,000 workers, which the processor can handle
     pool.run(seconds(6));
     for (const submission_id id : all)
@@ -91,7 +91,7 @@
 {
     narrow_pool pool(crowded());
     const standstill_check stalls(pool);
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(4));
     std::vector<submission_id> all;
     hand_in(pool, all, 100);
--- a/tests/src/unit-gangs.cpp
+++ b/tests/src/unit-gangs.cpp
@@ -40,7 +40,7 @@
 BOOST_AUTO_TEST_CASE(gangs_fill_the_pool)
 {
     pool_stand_in pool(with_workers(24, 0.4));
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(2));
     std::vector<submission_id> gangs;
     for (int i = 0; i < 40; ++i)
@@ -50,14 +50,14 @@
     // 72 tasks fit at a time; 320 tasks of 2 s take 8.9 s if no capacity is ever idle.
     pool.run(seconds(22));
     BOOST_TEST(count_done(pool, gangs) == gangs.size());
-    BOOST_TEST(pool.broken().empty());
+    BOOST_TEST(pool.violations().empty());
 }
 
 // Urgent tasks took the capacity held by gangs, which then requested tickets ten times over.
 BOOST_AUTO_TEST_CASE(gangs_start_beside_a_stream_of_urgent_tasks)
 {
     pool_stand_in pool(with_workers(24, 0.5));
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(2));
     std::vector<submission_id> gangs;
     std::vector<submission_id> urgent;
@@ -75,14 +75,14 @@
     BOOST_TEST(count_done(pool, urgent) == urgent.size());
     // Each gang asks about hosts and for tickets about once, not in each pass.
     BOOST_TEST(pool.leader().counters().questions < urgent.size() * 3 + gangs.size() * 12);
-    BOOST_TEST(pool.broken().empty());
+    BOOST_TEST(pool.violations().empty());
 }
 
 // Late tasks were never considered behind 60 gangs that could not start.
 BOOST_AUTO_TEST_CASE(late_tasks_start_behind_many_gangs_that_wait)
 {
     pool_stand_in pool(with_workers(8, 1.0));
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(2));
     for (int i = 0; i < 150; ++i)
     {
@@ -92,7 +92,7 @@
     pool.run(milliseconds(100));
     pool.unlead(); // long enough for it to be late
     pool.run(seconds(9));
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(8));
     BOOST_TEST((pool.phase(late) == submission_phase::completed));
 }
@@ -103,7 +103,7 @@
 {
     pool_settings settings = with_workers(60, 0.3);
     pool_stand_in pool(settings);
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(2));
     std::vector<submission_id> gangs;
     for (int i = 0; i < 40; ++i)
@@ -113,7 +113,7 @@
     pool.run(milliseconds(100));
     pool.unlead(); // until all are late and the advice has been lost
     pool.run(seconds(10));
-    pool.lead();
+    pool.start_leader();
     pool.run(milliseconds(4500));
     BOOST_TEST(count_done(pool, gangs) == gangs.size());
 }
@@ -130,7 +130,7 @@
             settings.mechanisms.switch_off(mechanism::kept_tickets);
         }
         pool_stand_in pool(settings);
-        pool.lead();
+        pool.start_leader();
         pool.run(seconds(2));
         const submission_id first = pool.submit("gangs", {step});
         pool.run(seconds(2));
@@ -160,7 +160,7 @@
     pool_settings settings = with_workers(24, 0.8);
     settings.slow_every = 3;
     pool_stand_in pool(settings);
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(2));
     for (int i = 0; i < 200; ++i) // learns speeds: enough tasks that every host has some
     {
@@ -197,7 +197,7 @@
         settings.question = milliseconds(700);
         settings.tickets_from_question = from_question;
         pool_stand_in pool(settings);
-        pool.lead();
+        pool.start_leader();
         pool.run(seconds(2));
         std::vector<submission_id> gangs;
         for (int i = 0; i < 30; ++i)
@@ -213,7 +213,7 @@
                 BOOST_TEST((pool.phase(id) == submission_phase::completed),
                            name_of(id) << ' ' << name_of(pool.phase(id)));
             }
-            BOOST_TEST(pool.broken().empty());
+            BOOST_TEST(pool.violations().empty());
             const std::uint64_t refused = pool.leader().counters().refused_starts;
             BOOST_TEST(refused <= (from_question ? 16U : 0U)); // the starts of two gangs that begin at once
         }
@@ -224,7 +224,7 @@
 BOOST_AUTO_TEST_CASE(a_read_behind_an_end_waits_for_its_commit)
 {
     pool_stand_in pool(with_workers(4, 1.0));
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(2));
     const submission_id id = pool.submit("plain", {make_step(1, 1000, 300)});
     for (int i = 0; i < 1000; ++i)
@@ -249,7 +249,7 @@
 BOOST_AUTO_TEST_CASE(reads_that_wait_are_answered_when_leadership_ends)
 {
     pool_stand_in pool(with_workers(4, 1.0));
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(2));
     const submission_id id = pool.submit("plain", {make_step(1, 1000, 300)});
     std::size_t asked = 0;
--- a/tests/src/unit-lives.cpp
+++ b/tests/src/unit-lives.cpp
@@ -38,8 +38,8 @@
 // that, a report of the former incarnation arrives.
 BOOST_AUTO_TEST_CASE(a_late_report_of_a_life_that_ended_unheard_changes_nothing)
 {
-    pool_stand_in pool(small(2));
-    pool.lead();
+    pool_stand_in pool(small_pool_settings(2));
+    pool.start_leader();
     pool.run(seconds(1));
     pool.crash("w0", "w0-again", false);
     pool.run(seconds(4));
@@ -54,8 +54,8 @@
 
 BOOST_AUTO_TEST_CASE(a_late_report_changes_nothing_under_the_next_leader_either)
 {
-    pool_stand_in pool(small(2));
-    pool.lead();
+    pool_stand_in pool(small_pool_settings(2));
+    pool.start_leader();
     pool.run(seconds(1));
     pool.crash("w0", "w0-again", false);
     pool.run(seconds(4));
@@ -63,7 +63,7 @@
     pool.report("w0-again", false);
     pool.run(seconds(1));
     const submission_id id = occupy(pool, "w0-again");
-    pool.lead();
+    pool.start_leader();
     pool.report("w0", false);
     pool.run(seconds(6));
     check_started_once(pool, id);
@@ -72,8 +72,8 @@
 // The first report of a former incarnation arrives only after its successor has tasks.
 BOOST_AUTO_TEST_CASE(a_first_report_that_comes_late_changes_nothing)
 {
-    pool_stand_in pool(small(2));
-    pool.lead();
+    pool_stand_in pool(small_pool_settings(2));
+    pool.start_leader();
     pool.run(seconds(1));
     pool.crash("w0", "w0-unheard", false);
     pool.crash("w0-unheard", "w0-again");
@@ -87,8 +87,8 @@
 // An incarnation whose address does not answer yet must not replace the running one.
 BOOST_AUTO_TEST_CASE(a_life_that_does_not_answer_replaces_nobody)
 {
-    pool_stand_in pool(small(2));
-    pool.lead();
+    pool_stand_in pool(small_pool_settings(2));
+    pool.start_leader();
     pool.run(seconds(1));
     const submission_id id = occupy(pool, "w0");
     pool.add_worker("w0-silent", "h0", false);
@@ -106,13 +106,13 @@
 // until it reported there too, 2.9 s after the change.
 BOOST_AUTO_TEST_CASE(a_worker_that_leaves_gets_nothing_new_from_the_next_leader)
 {
-    pool_stand_in pool(small(3));
-    pool.lead();
+    pool_stand_in pool(small_pool_settings(3));
+    pool.start_leader();
     pool.run(seconds(1));
     pool.report("w0", true, 60'000);
     pool.run(milliseconds(50));
     pool.faults("w0").reports_lost = true; // the next leader has not received its report yet
-    pool.lead();
+    pool.start_leader();
     const std::size_t before = pool.starts_on("w0");
     for (int i = 0; i < 10; ++i)
     {
@@ -127,8 +127,8 @@
 // revoke it.
 BOOST_AUTO_TEST_CASE(that_a_worker_leaves_is_replicated)
 {
-    pool_stand_in pool(small(2));
-    pool.lead();
+    pool_stand_in pool(small_pool_settings(2));
+    pool.start_leader();
     pool.run(seconds(1));
     const worker_life& life = *pool.state().find_id("w0");
     pool.report("w0", true, 60'000);
@@ -150,8 +150,8 @@
 // Running tasks continue; no new task is started there until it fits.
 BOOST_AUTO_TEST_CASE(a_room_that_shrinks_takes_nothing_new_until_there_is_room_again)
 {
-    pool_stand_in pool(small(2));
-    pool.lead();
+    pool_stand_in pool(small_pool_settings(2));
+    pool.start_leader();
     pool.run(seconds(1));
     const submission_id first = occupy(pool, "w0");
     pool.resize("w0", {8000, 65536, 0, 0});
@@ -173,8 +173,8 @@
 {
     for (const bool next_leader : {false, true})
     {
-        pool_stand_in pool(small(1));
-        pool.lead();
+        pool_stand_in pool(small_pool_settings(1));
+        pool.start_leader();
         pool.run(seconds(1));
         const worker_report held_back = pool.write_report("w0", false);
         pool.resize("w0", {4000, 65536, 0, 0});
@@ -183,7 +183,7 @@
         if (next_leader)
         {
             pool.faults("w0").reports_lost = true; // the next leader receives only the older report
-            pool.lead();
+            pool.start_leader();
             pool.run(seconds(1));
         }
         pool.deliver(held_back);
--- a/tests/src/unit-lost-workers.cpp
+++ b/tests/src/unit-lost-workers.cpp
@@ -30,39 +30,39 @@
 }
 
 // One of the workers with runs is lost while there is no leader.
-void lose_one_between_leaders(pool_stand_in& pool, std::size_t workers, bool refuses)
+void lose_one_between_leaders(pool_stand_in& pool, std::size_t workers, bool refuses_connections)
 {
     const std::vector<std::string> busy = workers_with_runs(pool, workers);
     BOOST_REQUIRE(!busy.empty());
     pool.unlead();
-    pool.lose(busy.front(), refuses);
+    pool.remove_worker(busy.front(), refuses_connections);
     pool.run(milliseconds(700));
-    pool.lead();
+    pool.start_leader();
 }
 
-void play_single_tasks(bool refuses)
+void play_single_tasks(bool refuses_connections)
 {
-    pool_stand_in pool(small(8));
-    pool.lead();
+    pool_stand_in pool(small_pool_settings(8));
+    pool.start_leader();
     pool.run(seconds(1));
     const submission_id id = pool.submit("plain", {make_step(16, 4000, 3000)});
     pool.run(milliseconds(500));
-    lose_one_between_leaders(pool, 8, refuses);
+    lose_one_between_leaders(pool, 8, refuses_connections);
     pool.run(given_up_by + run_time);
     BOOST_TEST((pool.phase(id) == submission_phase::completed));
     check_unbroken(pool);
 }
 
-void play_gang(bool refuses)
+void play_gang(bool refuses_connections)
 {
-    pool_stand_in pool(small(8));
-    pool.lead();
+    pool_stand_in pool(small_pool_settings(8));
+    pool.start_leader();
     pool.run(seconds(1));
     step_spec gang = make_step(6, 6000, 3000);
     gang.gang = true;
     const submission_id id = pool.submit("plain", {gang});
     pool.run(seconds(1));
-    lose_one_between_leaders(pool, 8, refuses);
+    lose_one_between_leaders(pool, 8, refuses_connections);
     pool.run(given_up_by + run_time);
     BOOST_TEST((pool.phase(id) == submission_phase::completed));
     check_unbroken(pool);
@@ -89,8 +89,8 @@
 // over.
 BOOST_AUTO_TEST_CASE(a_leader_that_reaches_nobody_gives_up_nobody)
 {
-    pool_stand_in pool(small(4));
-    pool.lead();
+    pool_stand_in pool(small_pool_settings(4));
+    pool.start_leader();
     pool.run(seconds(1));
     const submission_id id = pool.submit("plain", {make_step(8, 4000, 1500)});
     pool.run(milliseconds(300));
@@ -116,8 +116,8 @@
 // The lease of a worker that rejects each poll is not renewed, so nothing runs there once it has expired.
 BOOST_AUTO_TEST_CASE(a_worker_that_rejects_every_look_is_given_up)
 {
-    pool_stand_in pool(small(8));
-    pool.lead();
+    pool_stand_in pool(small_pool_settings(8));
+    pool.start_leader();
     pool.run(seconds(1));
     const submission_id id = pool.submit("plain", {make_step(16, 4000, 3000)});
     pool.run(milliseconds(500));
@@ -130,10 +130,10 @@
 // A refused connection indicates that the worker is down: no more tasks are placed there until it responds.
 BOOST_AUTO_TEST_CASE(a_refused_order_keeps_further_work_away)
 {
-    pool_stand_in pool(small(8));
-    pool.lead();
+    pool_stand_in pool(small_pool_settings(8));
+    pool.start_leader();
     pool.run(seconds(1));
-    pool.lose("w0", true);
+    pool.remove_worker("w0", true);
     std::vector<submission_id> all;
     for (int i = 0; i < 40; ++i)
     {
@@ -153,10 +153,10 @@
 BOOST_AUTO_TEST_CASE(a_start_without_an_answer_is_settled_as_soon_as_its_worker_is_back)
 {
     const standstill_bounds bounds;
-    pool_settings settings = small(2);
+    pool_settings settings = small_pool_settings(2);
     settings.good_share = 1.0;
     pool_stand_in pool(settings);
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(1));
     const submission_id id = pool.submit("batch", {make_step(1, 980, 1000)});
     const task_ref task{{id, round_id{0}, 0}, 0};
@@ -190,13 +190,13 @@
 
 second_start play_second_start(const std::string& silent, monotonic_time since)
 {
-    pool_stand_in pool(small(8));
-    pool.lead();
+    pool_stand_in pool(small_pool_settings(8));
+    pool.start_leader();
     pool.run(seconds(1));
     const submission_id id = pool.submit("plain", {make_step(1, 4000, 2000)});
     const task_ref task{{id, round_id{0}, 0}, 0};
     pool.run(milliseconds(500));
-    pool.lose(workers_with_runs(pool, 8).front(), false);
+    pool.remove_worker(workers_with_runs(pool, 8).front(), false);
     while (pool.state().find(task)->run < 2)
     {
         pool.run(milliseconds(10));
--- a/tests/src/unit-never-back.cpp
+++ b/tests/src/unit-never-back.cpp
@@ -31,7 +31,7 @@
 
 enum class way_to_go : std::uint8_t
 {
-    refuses,
+    refuses_connections,
     silent,
     rack_refuses,
     rack_silent,
@@ -50,50 +50,50 @@
 
 constexpr std::size_t workers = 24;
 constexpr std::size_t rack_size = 8;
-constexpr std::size_t kept = 12;           // so many always stay: all tasks fit there
-constexpr std::size_t few_connections = 9; // less than half of the workers
+constexpr std::size_t min_live_workers = 12; // so many always stay: all tasks fit there
+constexpr std::size_t few_connections = 9;   // less than half of the workers
 constexpr int episodes = 3;
-constexpr seconds calm{20}; // after each episode; longer than any bound
+constexpr seconds recovery_time{20}; // after each episode; longer than any bound
 
-class day
+class scenario
 {
   public:
-    day(load kind, std::uint64_t seed, bool narrow, leader_trouble trouble)
-        : m_pool(settings(seed, narrow)), m_check(m_pool, bounds(narrow, trouble)), m_load(kind),
-          m_trouble(trouble), m_random(seed * 7919 + 13)
+    scenario(load kind, std::uint64_t seed, bool limited_connections, leader_trouble fault)
+        : m_pool(settings(seed, limited_connections)), m_check(m_pool, bounds(limited_connections, fault)),
+          m_load(kind), m_fault(fault), m_random(seed * 7919 + 13)
     {
     }
-    void play(way_to_go way)
+    void execute(way_to_go departure)
     {
-        m_pool.lead();
+        m_pool.start_leader();
         m_pool.run(seconds(1));
         submit_lasting();
         for (int episode = 0; episode < episodes; ++episode)
         {
             work_for(seconds(2));
-            strike(m_trouble, way);
+            strike(m_fault, departure);
             work_for(seconds(4));
-            m_pool.run(calm);
+            m_pool.run(recovery_time);
         }
-        m_pool.run(calm);
+        m_pool.run(recovery_time);
         check_done();
     }
 
   private:
-    static pool_settings settings(std::uint64_t seed, bool narrow)
+    static pool_settings settings(std::uint64_t seed, bool limited_connections)
     {
-        pool_settings out = small(workers);
+        pool_settings out = small_pool_settings(workers);
         out.seed = seed;
         out.good_share = 0.85; // so that enough hosts are approved for each gang
-        out.look_connections = narrow ? few_connections : SIZE_MAX;
+        out.look_connections = limited_connections ? few_connections : SIZE_MAX;
         return out;
     }
     // Idle workers are polled rarely and may be isolated unnoticed, so a task of a lost worker may be sent to
     // one.
-    static standstill_bounds bounds(bool narrow, leader_trouble trouble)
+    static standstill_bounds bounds(bool limited_connections, leader_trouble fault)
     {
         standstill_bounds out;
-        out.workers_in_a_row = narrow && trouble == leader_trouble::cut_from_some ? 2 : 1;
+        out.workers_in_a_row = limited_connections && fault == leader_trouble::cut_from_some ? 2 : 1;
         return out;
     }
     std::uint64_t draw(std::uint64_t below)
@@ -150,30 +150,30 @@
     }
 
     // The leader fault and the loss of workers come at about the same time, in either order.
-    void strike(leader_trouble trouble, way_to_go way)
+    void strike(leader_trouble fault, way_to_go departure)
     {
         const bool workers_first = draw(2) == 0;
         const milliseconds apart = between(0, 500);
-        if (way == way_to_go::leaves)
+        if (departure == way_to_go::leaves)
         {
             say_that_some_leave();
         }
         if (workers_first)
         {
-            go(way);
+            remove_workers(departure);
             m_pool.run(apart);
         }
-        begin_fault(trouble);
+        begin_fault(fault);
         if (!workers_first)
         {
             m_pool.run(apart);
-            go(way);
+            remove_workers(departure);
         }
-        end_fault(trouble);
+        end_fault(fault);
     }
-    void begin_fault(leader_trouble trouble)
+    void begin_fault(leader_trouble fault)
     {
-        switch (trouble)
+        switch (fault)
         {
         case leader_trouble::replaced_at_once:
         case leader_trouble::replaced_late:
@@ -182,15 +182,15 @@
             return;
         case leader_trouble::frozen:
         case leader_trouble::frozen_and_replaced:
-            m_pool.freeze(between(1000, 7000));
+            m_pool.freeze_leader(between(1000, 7000));
             return;
         case leader_trouble::cut_from_some:
         case leader_trouble::cut_from_all:
             for (std::size_t i = 0; i < workers; ++i)
             {
-                if (trouble == leader_trouble::cut_from_all || draw(2) == 0)
+                if (fault == leader_trouble::cut_from_all || draw(2) == 0)
                 {
-                    m_pool.cut_off(name(i), between(1000, 9000));
+                    m_pool.isolate_worker(name(i), between(1000, 9000));
                 }
             }
             return;
@@ -198,25 +198,25 @@
             return;
         }
     }
-    void end_fault(leader_trouble trouble)
+    void end_fault(leader_trouble fault)
     {
-        switch (trouble)
+        switch (fault)
         {
         case leader_trouble::replaced_at_once:
             m_pool.run(between(50, 500));
-            m_pool.lead();
+            m_pool.start_leader();
             return;
         case leader_trouble::replaced_late:
             m_pool.run(between(1000, 4000));
-            m_pool.lead();
+            m_pool.start_leader();
             return;
         case leader_trouble::core_dark:
             m_pool.run(between(6000, 12000));
-            m_pool.lead();
+            m_pool.start_leader();
             return;
         case leader_trouble::frozen_and_replaced:
             m_pool.run(between(300, 2000));
-            m_pool.lead();
+            m_pool.start_leader();
             return;
         default:
             return;
@@ -227,18 +227,18 @@
     {
         return "w" + std::to_string(index);
     }
-    [[nodiscard]] std::size_t live() const
+    [[nodiscard]] std::size_t count_live_workers() const
     {
         std::size_t out = 0;
         for (const auto& [life, worker] : m_pool.workers())
         {
-            out += worker.gone ? 0 : 1;
+            out += worker.terminated ? 0 : 1;
         }
         return out;
     }
     void say_that_some_leave()
     {
-        m_leaving = chosen(2 + draw(3));
+        m_leaving = pick_workers(2 + draw(3));
         for (const std::string& life : m_leaving)
         {
             m_pool.report(life, true, 4000);
@@ -246,50 +246,51 @@
         m_pool.run(between(100, 1500));
     }
     // Workers that are up, busy ones first.
-    std::vector<std::string> chosen(std::size_t count)
+    std::vector<std::string> pick_workers(std::size_t count)
     {
         std::vector<std::string> busy;
         std::vector<std::string> idle;
         for (const auto& [life, worker] : m_pool.workers())
         {
-            if (!worker.gone)
+            if (!worker.terminated)
             {
                 (worker.running.empty() ? idle : busy).push_back(life);
             }
         }
         std::shuffle(busy.begin(), busy.end(), m_random);
         busy.insert(busy.end(), idle.begin(), idle.end());
-        const std::size_t spare = live() - std::min(live(), kept);
+        const std::size_t spare = count_live_workers() - std::min(count_live_workers(), min_live_workers);
         busy.resize(std::min({busy.size(), count, spare}));
         return busy;
     }
-    void go(way_to_go way)
+    void remove_workers(way_to_go departure)
     {
-        const bool rack = way == way_to_go::rack_refuses || way == way_to_go::rack_silent;
-        std::vector<std::string> going;
-        if (way == way_to_go::leaves)
+        const bool rack = departure == way_to_go::rack_refuses || departure == way_to_go::rack_silent;
+        std::vector<std::string> removed;
+        if (departure == way_to_go::leaves)
         {
-            going = m_leaving;
+            removed = m_leaving;
         }
-        else if (rack && live() >= kept + rack_size)
+        else if (rack && count_live_workers() >= min_live_workers + rack_size)
         {
             const std::size_t first = draw(workers / rack_size) * rack_size;
             for (std::size_t i = first; i < first + rack_size; ++i)
             {
-                going.push_back(name(i));
+                removed.push_back(name(i));
             }
         }
         else
         {
-            going = chosen(1 + draw(3));
+            removed = pick_workers(1 + draw(3));
         }
-        const bool refuses = way == way_to_go::refuses || way == way_to_go::rack_refuses ||
-                             (way == way_to_go::leaves && draw(2) == 0);
-        for (const std::string& life : going)
+        const bool refuses_connections = departure == way_to_go::refuses_connections ||
+                                         departure == way_to_go::rack_refuses ||
+                                         (departure == way_to_go::leaves && draw(2) == 0);
+        for (const std::string& life : removed)
         {
-            if (!m_pool.workers().at(life).gone)
+            if (!m_pool.workers().at(life).terminated)
             {
-                m_pool.lose(life, refuses);
+                m_pool.remove_worker(life, refuses_connections);
             }
         }
     }
@@ -316,7 +317,7 @@
         {
             for (const auto& [run, state] : worker.running)
             {
-                out += !worker.gone && run.task.step.submission == id ? 1 : 0;
+                out += !worker.terminated && run.task.step.submission == id ? 1 : 0;
             }
         }
         return out;
@@ -325,7 +326,7 @@
     troubled_pool m_pool;
     standstill_check m_check;
     load m_load;
-    leader_trouble m_trouble;
+    leader_trouble m_fault;
     std::mt19937_64 m_random;
     std::vector<submission_id> m_all;
     std::vector<submission_id> m_lasting;
@@ -333,26 +334,26 @@
 };
 
 // Each seed is one combination of faults; this many seeds cover all of them once.
-constexpr std::uint64_t pairs = leader_troubles * ways_to_go;
+constexpr std::uint64_t fault_combinations = leader_troubles * ways_to_go;
 // Further seeds with which a task was stalled: an unanswered start, and two successive starts that were not
 // accepted.
 constexpr std::array<std::uint64_t, 4> found_seeds{70, 77, 111, 271};
 
-void play_day(load kind, bool narrow, std::uint64_t seed)
+void play_day(load kind, bool limited_connections, std::uint64_t seed)
 {
     BOOST_TEST_CONTEXT("seed " << seed << ", leader " << seed % leader_troubles << ", workers "
                                << seed / leader_troubles % ways_to_go)
     {
-        day made(kind, seed, narrow, static_cast<leader_trouble>(seed % leader_troubles));
-        made.play(static_cast<way_to_go>(seed / leader_troubles % ways_to_go));
+        scenario made(kind, seed, limited_connections, static_cast<leader_trouble>(seed % leader_troubles));
+        made.execute(static_cast<way_to_go>(seed / leader_troubles % ways_to_go));
     }
 }
 
-void play_days(load kind, bool narrow = false)
+void play_days(load kind, bool limited_connections = false)
 {
-    for (std::uint64_t seed = first_seed(); seed < first_seed() + seed_count(pairs); ++seed)
+    for (std::uint64_t seed = first_seed(); seed < first_seed() + seed_count(fault_combinations); ++seed)
     {
-        play_day(kind, narrow, seed);
+        play_day(kind, limited_connections, seed);
     }
     if (std::getenv("WALKTHREAD_SEEDS") != nullptr)
     {
@@ -360,7 +361,7 @@
     }
     for (const std::uint64_t seed : found_seeds)
     {
-        play_day(kind, narrow, seed);
+        play_day(kind, limited_connections, seed);
     }
 }
 } // namespace
--- a/tests/src/unit-pending.cpp
+++ b/tests/src/unit-pending.cpp
@@ -25,8 +25,8 @@
 // has confirmed it.
 BOOST_AUTO_TEST_CASE(submissions_whose_orders_reached_nobody_are_told_as_waiting)
 {
-    pool_stand_in pool(small(4));
-    pool.lead();
+    pool_stand_in pool(small_pool_settings(4));
+    pool.start_leader();
     pool.run(milliseconds(1150)); // all have just answered a poll
     set_dark(pool, 4, true);
     for (int i = 0; i < 5; ++i)
@@ -46,8 +46,8 @@
 // The next leader finds that a start recorded by the previous leader was never carried out.
 BOOST_AUTO_TEST_CASE(a_start_that_the_last_leader_did_not_send_is_told_as_waiting)
 {
-    pool_stand_in pool(small(1));
-    pool.lead();
+    pool_stand_in pool(small_pool_settings(1));
+    pool.start_leader();
     pool.run(seconds(1));
     const submission_id id = pool.submit("plain", {make_step(1, 1000, 3000)});
     pool.run(milliseconds(12));
@@ -55,7 +55,7 @@
     pool.unlead();
     pool.state().apply(0, record_starts{{planned_start{task_ref{{id, round_id{0}, 0}, 0}, 1, life.id}}});
     BOOST_TEST(pool.state().queued("plain") == 0U);
-    pool.lead();
+    pool.start_leader();
     pool.report("w0", true, 60'000); // so that it is not started again
     pool.run(milliseconds(100));
     BOOST_TEST(pool.leader().pending("plain") == 1U);
@@ -67,13 +67,13 @@
 // A confirmed start counts at once and still counts under the next leader, however the run ends.
 BOOST_AUTO_TEST_CASE(what_has_begun_is_not_told_as_waiting)
 {
-    pool_stand_in pool(small(2));
-    pool.lead();
+    pool_stand_in pool(small_pool_settings(2));
+    pool.start_leader();
     pool.run(seconds(1));
     pool.submit("plain", {make_step(2, 1000, 2000)});
     pool.run(milliseconds(100));
     BOOST_TEST(pool.leader().pending("plain") == 0U);
-    pool.lead();
+    pool.start_leader();
     pool.run(milliseconds(100));
     BOOST_TEST(pool.leader().pending("plain") == 0U);
     pool.crash("w0", "w0-again");
--- a/tests/src/unit-quotas.cpp
+++ b/tests/src/unit-quotas.cpp
@@ -12,7 +12,7 @@
 
 pool_settings limited(std::size_t workers, const resources& limit)
 {
-    pool_settings settings = small(workers);
+    pool_settings settings = small_pool_settings(workers);
     settings.organisation_limit = limit;
     return settings;
 }
@@ -21,13 +21,13 @@
 BOOST_AUTO_TEST_CASE(an_organisation_at_its_limit_waits_and_others_do_not)
 {
     pool_stand_in pool(limited(8, eight_cores));
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(1));
     const submission_id wide = pool.submit("plain", {make_step(40, 1000, 1000)}, "hens");
     const submission_id other = pool.submit("plain", {make_step(8, 1000, 1000)}, "geese");
     pool.run(milliseconds(600));
-    BOOST_TEST(pool.running_of("hens").cpu == 8000);
-    BOOST_TEST(pool.running_of("geese").cpu == 8000);
+    BOOST_TEST(pool.running_resources_of("hens").cpu == 8000);
+    BOOST_TEST(pool.running_resources_of("geese").cpu == 8000);
     pool.run(seconds(12));
     BOOST_TEST((pool.phase(wide) == submission_phase::completed));
     BOOST_TEST((pool.phase(other) == submission_phase::completed));
@@ -38,7 +38,7 @@
 BOOST_AUTO_TEST_CASE(a_gang_that_waits_for_its_organisation_keeps_no_room_from_others)
 {
     pool_stand_in pool(limited(2, eight_cores));
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(1));
     pool.submit("plain", {make_step(8, 1000, 5000)}, "hens");
     pool.run(milliseconds(300));
@@ -57,17 +57,17 @@
 BOOST_AUTO_TEST_CASE(a_new_leader_counts_what_it_inherits)
 {
     pool_stand_in pool(limited(4, eight_cores));
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(1));
     pool.submit("plain", {make_step(30, 1000, 4000)}, "hens");
     pool.run(milliseconds(15)); // recorded, the orders are in transit
     pool.unlead();
     pool.run(milliseconds(500));
-    pool.lead();
+    pool.start_leader();
     for (int i = 0; i < 40; ++i)
     {
         pool.run(milliseconds(100));
-        BOOST_TEST(pool.running_of("hens").cpu <= 8000);
+        BOOST_TEST(pool.running_resources_of("hens").cpu <= 8000);
     }
     check_unbroken(pool);
 }
@@ -75,19 +75,19 @@
 BOOST_AUTO_TEST_CASE(limits_that_are_lowered_and_raised_count_from_then_on)
 {
     pool_stand_in pool(limited(4, eight_cores));
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(1));
     const submission_id wide = pool.submit("plain", {make_step(60, 1000, 400)}, "hens");
     pool.run(milliseconds(1500));
     pool.limit_organisations({2000, 0, 0, 0});
     pool.run(seconds(1));
-    BOOST_TEST(pool.running_of("hens").cpu <= 2000);
+    BOOST_TEST(pool.running_resources_of("hens").cpu <= 2000);
     pool.limit_organisations({16000, 0, 0, 0});
     std::int64_t most = 0;
     for (int i = 0; i < 10; ++i)
     {
         pool.run(milliseconds(50));
-        most = std::max(most, pool.running_of("hens").cpu);
+        most = std::max(most, pool.running_resources_of("hens").cpu);
     }
     BOOST_TEST(most > 8000);
     pool.run(seconds(20));
@@ -111,7 +111,7 @@
         {
             return random() % below;
         };
-        pool.lead();
+        pool.start_leader();
         pool.run(seconds(1));
         std::vector<submission_id> all;
         for (int step = 0; step < 80; ++step)
@@ -123,7 +123,7 @@
             case 0:
                 pool.unlead();
                 pool.run(milliseconds(300 + draw(2500)));
-                pool.lead();
+                pool.start_leader();
                 break;
             case 1:
                 pool.limit_organisations({static_cast<std::int64_t>(24000 + draw(60000)), 0, 0, 0});
--- a/tests/src/unit-reservations.cpp
+++ b/tests/src/unit-reservations.cpp
@@ -34,7 +34,7 @@
         settings.mechanisms.switch_off(mechanism::reservations);
     }
     pool_stand_in pool(settings);
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(2));
     submission_id large{};
     monotonic_time submitted{};
@@ -53,7 +53,7 @@
             break;
         }
     }
-    BOOST_TEST(pool.broken().empty());
+    BOOST_TEST(pool.violations().empty());
     return std::chrono::duration_cast<milliseconds>(pool.now() - submitted).count();
 }
 } // namespace
@@ -91,7 +91,7 @@
     settings.size = host_size;
     settings.good_share = 0.6;
     pool_stand_in pool(settings);
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(2));
     std::vector<submission_id> small;
     for (int i = 0; i < 100; ++i)
@@ -106,5 +106,5 @@
         done += pool.phase(id) == submission_phase::completed ? 1 : 0;
     }
     BOOST_TEST(done > small.size() / 3);
-    BOOST_TEST(pool.broken().empty());
+    BOOST_TEST(pool.violations().empty());
 }
--- a/tests/src/unit-restarts.cpp
+++ b/tests/src/unit-restarts.cpp
@@ -13,8 +13,8 @@
 
 namespace
 {
-constexpr duration settled = seconds(1); // until leaders, polls and reports have reached a steady state
-constexpr std::uint32_t most_tasks = 8;  // of a submission here
+constexpr duration settle_time = seconds(1); // until leaders, polls and reports have reached a steady state
+constexpr std::uint32_t max_tasks = 8;       // of a submission here
 
 std::vector<submission_id> submit_many(pool_stand_in& pool, int count, std::int64_t run_ms)
 {
@@ -42,7 +42,7 @@
     for (const submission_id id : all)
     {
         std::size_t crashes = 0;
-        for (std::uint32_t i = 0; i < most_tasks; ++i)
+        for (std::uint32_t i = 0; i < max_tasks; ++i)
         {
             crashes = std::max(crashes, pool.crashes_under({{id, round_id{0}, 0}, i}));
         }
@@ -72,12 +72,12 @@
 // again.
 BOOST_AUTO_TEST_CASE(ends_of_a_new_life_are_not_taken_for_seen)
 {
-    pool_stand_in pool(small(2));
-    pool.lead();
-    pool.run(settled);
+    pool_stand_in pool(small_pool_settings(2));
+    pool.start_leader();
+    pool.run(settle_time);
     check_completed(pool, {});
     const auto before = submit_many(pool, 8, 200);
-    pool.run(settled);
+    pool.run(settle_time);
     check_completed(pool, before);
     pool.restart("w0", milliseconds(300), true);
     pool.restart("w1", milliseconds(400), true);
@@ -93,9 +93,9 @@
 {
     for (const bool silent : {false, true})
     {
-        pool_stand_in pool(small(2));
-        pool.lead();
-        pool.run(settled);
+        pool_stand_in pool(small_pool_settings(2));
+        pool.start_leader();
+        pool.run(settle_time);
         const auto all = submit_many(pool, 6, 1500);
         pool.run(milliseconds(300));
         const std::size_t lost = pool.running_on("w0");
@@ -112,9 +112,9 @@
 // it.
 BOOST_AUTO_TEST_CASE(a_worker_that_left_is_used_when_it_comes_back)
 {
-    pool_stand_in pool(small(2));
-    pool.lead();
-    pool.run(settled);
+    pool_stand_in pool(small_pool_settings(2));
+    pool.start_leader();
+    pool.run(settle_time);
     for (const std::string life : {"w0", "w1"})
     {
         pool.report(life, true);
@@ -134,8 +134,8 @@
 {
     for (const bool next_leader : {false, true})
     {
-        pool_stand_in pool(small(1));
-        pool.lead();
+        pool_stand_in pool(small_pool_settings(1));
+        pool.start_leader();
         pool.run(seconds(12));
         pool.report("w0", true, 60'000);
         pool.run(milliseconds(100));
@@ -144,7 +144,7 @@
         {
             pool.unlead();
             pool.run(seconds(1));
-            pool.lead();
+            pool.start_leader();
         }
         const auto all = submit_many(pool, 4, 300);
         pool.run(seconds(3));
@@ -156,8 +156,8 @@
 // report of a new incarnation older.
 BOOST_AUTO_TEST_CASE(the_room_of_a_new_life_counts)
 {
-    pool_stand_in pool(small(1));
-    pool.lead();
+    pool_stand_in pool(small_pool_settings(1));
+    pool.start_leader();
     pool.run(seconds(12));
     pool.resize("w0", {8000, 65536, 0, 0});
     pool.report("w0", false);
@@ -175,12 +175,12 @@
 {
     for (const duration down : {milliseconds(300), milliseconds(3000), milliseconds(7000)})
     {
-        pool_settings settings = small(6);
+        pool_settings settings = small_pool_settings(6);
         settings.restart = down;
         settings.restarts_keep_ids = true;
         pool_stand_in pool(settings);
-        pool.lead();
-        pool.run(settled);
+        pool.start_leader();
+        pool.run(settle_time);
         const submission_id crashing = pool.submit("plain", {make_step(1, 1400, 1000)});
         pool.crash_a_worker.insert(crashing);
         std::vector<submission_id> ordinary;
@@ -200,9 +200,9 @@
 // received, but no crash happened during the runs. After two such cases, the tasks failed as poison tasks.
 BOOST_AUTO_TEST_CASE(what_was_done_before_a_crash_is_not_to_blame)
 {
-    pool_stand_in pool(small(2));
-    pool.lead();
-    pool.run(settled);
+    pool_stand_in pool(small_pool_settings(2));
+    pool.start_leader();
+    pool.run(settle_time);
     const submission_id id = pool.submit("plain", {make_step(1, 2000, 300)});
     for (int i = 0; i < 2; ++i)
     {
@@ -229,11 +229,11 @@
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
     {
-        pool_settings settings = small(3);
+        pool_settings settings = small_pool_settings(3);
         settings.seed = seed;
         pool_stand_in pool(settings);
-        pool.lead();
-        pool.run(settled);
+        pool.start_leader();
+        pool.run(settle_time);
         pool.faults("w0").late = 0.7;
         pool.faults("w0").late_outlives = true;
         const auto all = submit_many(pool, 8, 6000);
@@ -248,12 +248,12 @@
 // first report.
 BOOST_AUTO_TEST_CASE(late_words_of_a_former_life_change_nothing)
 {
-    pool_stand_in pool(small(2));
-    pool.lead();
-    pool.run(settled);
+    pool_stand_in pool(small_pool_settings(2));
+    pool.start_leader();
+    pool.run(settle_time);
     const worker_report held_back = pool.write_report("w0", true, 2000);
     pool.restart("w0", milliseconds(300));
-    pool.run(settled);
+    pool.run(settle_time);
     const auto all = submit_many(pool, 8, 2000);
     pool.run(milliseconds(200));
     const std::size_t there = pool.running_on("w0");
@@ -272,9 +272,9 @@
 {
     for (const bool snapshot : {false, true})
     {
-        pool_stand_in pool(small(2));
-        pool.lead();
-        pool.run(settled);
+        pool_stand_in pool(small_pool_settings(2));
+        pool.start_leader();
+        pool.run(settle_time);
         check_completed(pool, submit_many(pool, 0, 0));
         const auto first = submit_many(pool, 6, 300);
         pool.run(seconds(1));
@@ -287,7 +287,7 @@
         {
             BOOST_REQUIRE(pool.state().load(pool.state().save()));
         }
-        pool.lead();
+        pool.start_leader();
         pool.run(seconds(12));
         check_completed(pool, first);
         check_completed(pool, second);
@@ -298,9 +298,9 @@
 // implementation.
 BOOST_AUTO_TEST_CASE(a_report_without_a_birth_is_not_taken_where_the_others_have_one)
 {
-    pool_stand_in pool(small(2));
-    pool.lead();
-    pool.run(settled);
+    pool_stand_in pool(small_pool_settings(2));
+    pool.start_leader();
+    pool.run(settle_time);
     worker_report foreign = pool.write_report("w0", false);
     foreign.facts.id = "w7";
     foreign.facts.host = "h7";
@@ -311,7 +311,7 @@
                  {
                      counted = true;
                  });
-    pool.run(settled);
+    pool.run(settle_time);
     BOOST_TEST(!counted);
     BOOST_TEST(pool.state().workers().size() == 2U);
 }
@@ -320,11 +320,11 @@
 // before it had reported all of these ends, and the crash was attributed to them.
 BOOST_AUTO_TEST_CASE(a_member_of_a_gang_that_broke_is_not_blamed_for_a_later_crash_of_its_host)
 {
-    pool_settings settings = small(2);
+    pool_settings settings = small_pool_settings(2);
     settings.good_share = 1.0;
     pool_stand_in pool(settings);
-    pool.lead();
-    pool.run(settled);
+    pool.start_leader();
+    pool.run(settle_time);
     pool.submit("gangs", {make_step(6, 4500, 3000, true)});
     pool.run(milliseconds(200));
     std::vector<task_ref> broken;
@@ -350,11 +350,11 @@
 // task.
 BOOST_AUTO_TEST_CASE(a_member_that_broke_untold_is_not_blamed_for_a_later_crash_of_its_host)
 {
-    pool_settings settings = small(2);
+    pool_settings settings = small_pool_settings(2);
     settings.good_share = 1.0;
     pool_stand_in pool(settings);
-    pool.lead();
-    pool.run(settled);
+    pool.start_leader();
+    pool.run(settle_time);
     const submission_id id = pool.submit("gangs", {make_step(6, 4500, 3000, true)});
     pool.run(milliseconds(200));
     BOOST_REQUIRE(pool.running_on("w0") == 3U);
@@ -385,9 +385,9 @@
         {
             BOOST_TEST_CONTEXT(hosts << " hosts, " << percent << "% restart")
             {
-                pool_stand_in pool(small(hosts));
-                pool.lead();
-                pool.run(settled);
+                pool_stand_in pool(small_pool_settings(hosts));
+                pool.start_leader();
+                pool.run(settle_time);
                 std::vector<submission_id> all;
                 const auto load = [&](std::size_t rounds)
                 {
@@ -401,11 +401,11 @@
                     }
                 };
                 load(6);
-                std::vector<std::pair<std::string, std::size_t>> struck;
+                std::vector<std::pair<std::string, std::size_t>> restarted;
                 for (std::size_t i = 0; i < std::max<std::size_t>(hosts * percent / 100, 1); ++i)
                 {
                     const std::string life = "w" + std::to_string(i);
-                    struck.emplace_back(life, pool.starts_on(life));
+                    restarted.emplace_back(life, pool.starts_on(life));
                     pool.restart(life, milliseconds(400), i % 2 == 0);
                 }
                 load(1); // they are down for most of it, and report at its end
@@ -414,8 +414,8 @@
                 {
                     return pool.starts_on(item.first) > item.second;
                 };
-                const auto again = std::count_if(struck.begin(), struck.end(), has_work);
-                BOOST_TEST(2 * static_cast<std::size_t>(again) >= struck.size());
+                const auto again = std::count_if(restarted.begin(), restarted.end(), has_work);
+                BOOST_TEST(2 * static_cast<std::size_t>(again) >= restarted.size());
                 pool.run(seconds(20));
                 check_outcomes(pool, all);
             }
@@ -436,12 +436,12 @@
             {
                 return random() % below;
             };
-            pool_settings settings = small(12);
+            pool_settings settings = small_pool_settings(12);
             settings.seed = seed;
             settings.good_share = 0.85;
             pool_stand_in pool(settings);
-            pool.lead();
-            pool.run(settled);
+            pool.start_leader();
+            pool.run(settle_time);
             std::vector<submission_id> all;
             for (int step = 0; step < 80; ++step)
             {
@@ -470,7 +470,7 @@
                 case 4:
                     pool.unlead();
                     pool.run(milliseconds(300 + draw(1500)));
-                    pool.lead();
+                    pool.start_leader();
                     break;
                 case 5:
                     pool.report(life, true, 2000);
--- a/tests/src/unit-rooms.cpp
+++ b/tests/src/unit-rooms.cpp
@@ -117,11 +117,11 @@
 {
     for (std::uint64_t seed = 1; seed <= seed_count(30); ++seed)
     {
-        pool_settings settings = small(4);
+        pool_settings settings = small_pool_settings(4);
         settings.seed = seed;
         settings.good_share = 1.0;
         pool_stand_in pool(settings);
-        pool.lead();
+        pool.start_leader();
         pool.run(seconds(1));
         std::vector<submission_id> all;
         for (int i = 0; i < 10; ++i)
--- a/tests/src/unit-sharing.cpp
+++ b/tests/src/unit-sharing.cpp
@@ -33,8 +33,8 @@
 }
 
 // The longest time that the tail latency stayed above the target on any of the workers.
-duration longest_over(pool_stand_in& pool, const std::vector<std::string>& worker_ids, std::int64_t target_ms,
-                      duration span)
+duration longest_time_over_target(pool_stand_in& pool, const std::vector<std::string>& worker_ids,
+                                  std::int64_t target_ms, duration span)
 {
     constexpr milliseconds step{50};
     duration longest{0};
@@ -55,19 +55,19 @@
 BOOST_AUTO_TEST_CASE(fillers_slow_down_before_a_tail_is_over_its_target_for_long)
 {
     pool_stand_in pool(with_workers(2));
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(1));
     pool.submit("plain", {make_serving(2, 100)});
     pool.run(seconds(2));
     pool.submit("plain", {make_filling(2)}); // a tail latency of 160 ms at full pace
-    BOOST_TEST((longest_over(pool, {"w0", "w1"}, 100, seconds(20)) < milliseconds(2500)));
+    BOOST_TEST((longest_time_over_target(pool, {"w0", "w1"}, 100, seconds(20)) < milliseconds(2500)));
     BOOST_TEST(pool.tail_on("w0") > 60); // they still run
 }
 
 BOOST_AUTO_TEST_CASE(a_new_leader_keeps_fillers_slow)
 {
     pool_stand_in pool(with_workers(2));
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(1));
     pool.submit("plain", {make_serving(2, 100)});
     pool.run(seconds(2));
@@ -75,14 +75,14 @@
     pool.run(seconds(10));
     pool.unlead();
     pool.run(milliseconds(1200));
-    pool.lead();
-    BOOST_TEST((longest_over(pool, {"w0", "w1"}, 100, seconds(10)) < milliseconds(2500)));
+    pool.start_leader();
+    BOOST_TEST((longest_time_over_target(pool, {"w0", "w1"}, 100, seconds(10)) < milliseconds(2500)));
 }
 
 BOOST_AUTO_TEST_CASE(filling_work_keeps_away_from_serving_work)
 {
     pool_stand_in pool(with_workers(4));
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(1));
     pool.submit("plain", {make_serving(2, 100)});
     pool.run(seconds(2));
@@ -98,7 +98,7 @@
 BOOST_AUTO_TEST_CASE(upkeep_stops_no_lasting_task_while_another_is_away)
 {
     pool_stand_in pool(with_workers(4));
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(1));
     step_spec step = make_serving(3, 0);
     step.may_miss = 1;
@@ -112,5 +112,5 @@
         fewest = std::min(fewest, pool.state().find(id)->active);
     }
     BOOST_TEST(fewest >= 2U);
-    BOOST_TEST(pool.broken().empty());
+    BOOST_TEST(pool.violations().empty());
 }
--- a/tests/src/unit-standstill.cpp
+++ b/tests/src/unit-standstill.cpp
@@ -31,12 +31,12 @@
         m_gangs[id].spec = step;
         return id;
     }
-    void watch(duration span)
+    void run_monitored(duration span)
     {
         for (const monotonic_time end = now() + span; now() < end;)
         {
             run(step_of_time);
-            look();
+            sample();
         }
     }
     [[nodiscard]] bool all_done() const
@@ -50,11 +50,11 @@
     }
     [[nodiscard]] milliseconds longest_with_room() const
     {
-        return m_with_room;
+        return m_longest_with_capacity;
     }
     [[nodiscard]] milliseconds longest_at_turn() const
     {
-        return m_at_turn;
+        return m_longest_at_head;
     }
     // Number of tasks of a gang that fit on the hosts approved for it, now or with nothing running there.
     [[nodiscard]] std::uint32_t tasks_on_good_hosts(submission_id id, bool empty) const
@@ -63,7 +63,7 @@
         std::uint32_t sum = 0;
         for (const auto& [life, worker] : m_workers)
         {
-            if (!worker.gone && is_good(step_ref{id, round_id{0}, 0}, life))
+            if (!worker.terminated && advisor_allows(step_ref{id, round_id{0}, 0}, life))
             {
                 const resources room = worker.facts.size - (empty ? lasting_on(worker) : used_on(worker));
                 sum += static_cast<std::uint32_t>(std::max<std::int64_t>(
@@ -78,8 +78,8 @@
         resources total;
         for (const auto& [life, worker] : m_workers)
         {
-            used += worker.gone ? resources{} : used_on(worker);
-            total += worker.gone ? resources{} : worker.facts.size;
+            used += worker.terminated ? resources{} : used_on(worker);
+            total += worker.terminated ? resources{} : worker.facts.size;
         }
         return dominant_share(used, total);
     }
@@ -88,8 +88,8 @@
     struct watched_gang
     {
         step_spec spec;
-        monotonic_time with_room{}; // since when it could run
-        monotonic_time at_turn{};   // since when it is the first gang that could
+        monotonic_time stalled_with_capacity_since{}; // since when it could run
+        monotonic_time stalled_at_head_since{};       // since when it is the first gang that could
     };
 
     [[nodiscard]] resources used_on(const sim_worker& worker) const
@@ -119,29 +119,31 @@
                m_state.ready().contains(step_ref{id, round_id{0}, 0});
     }
     // Extends or ends a stall; returns how long it has lasted.
-    [[nodiscard]] milliseconds extend(monotonic_time& since, bool stands) const
+    [[nodiscard]] milliseconds update_stall(monotonic_time& since, bool stands) const
     {
         since = stands && since != monotonic_time{} ? since : now();
         return std::chrono::duration_cast<milliseconds>(now() - since);
     }
-    void look()
+    void sample()
     {
-        const bool roomy = share_in_use() < 0.5;
+        const bool below_half_use = share_in_use() < 0.5;
         bool first = true;
         for (auto& [id, gang] : m_gangs) // in the order of submission
         {
             const bool waiting = waits(id);
-            const bool room = waiting && roomy && tasks_on_good_hosts(id, false) >= 2 * gang.spec.count;
+            const bool room =
+                waiting && below_half_use && tasks_on_good_hosts(id, false) >= 2 * gang.spec.count;
             const bool turn = waiting && first && tasks_on_good_hosts(id, true) >= gang.spec.count;
             first = first && !turn;
-            m_with_room = std::max(m_with_room, extend(gang.with_room, room));
-            m_at_turn = std::max(m_at_turn, extend(gang.at_turn, turn));
+            m_longest_with_capacity =
+                std::max(m_longest_with_capacity, update_stall(gang.stalled_with_capacity_since, room));
+            m_longest_at_head = std::max(m_longest_at_head, update_stall(gang.stalled_at_head_since, turn));
         }
     }
 
     std::map<submission_id, watched_gang> m_gangs;
-    milliseconds m_with_room{};
-    milliseconds m_at_turn{};
+    milliseconds m_longest_with_capacity{};
+    milliseconds m_longest_at_head{};
 };
 
 pool_settings few_good_hosts(std::size_t workers, double good_share, std::uint64_t seed)
@@ -182,7 +184,7 @@
 {
     BOOST_TEST(pool.longest_with_room().count() <= bound_with_room.count());
     BOOST_TEST(pool.longest_at_turn().count() <= bound_at_turn.count());
-    BOOST_TEST(pool.broken().empty());
+    BOOST_TEST(pool.violations().empty());
 }
 } // namespace
 
@@ -200,7 +202,7 @@
         const double share = 0.1 * static_cast<double>(pick(1, 5));
         const double load = 0.01 * static_cast<double>(pick(70, 110));
         watched_pool pool(few_good_hosts(workers, share, seed));
-        pool.lead();
+        pool.start_leader();
         pool.run(seconds(2));
         for (int tick = 0; tick < 150; ++tick)
         {
@@ -210,9 +212,9 @@
                 pool.submit_gang(make_step(static_cast<std::uint32_t>(pick(2, 9)), pick(3000, 6500),
                                            pick(400, 2500), true));
             }
-            pool.watch(milliseconds(100));
+            pool.run_monitored(milliseconds(100));
         }
-        pool.watch(seconds(25));
+        pool.run_monitored(seconds(25));
         BOOST_TEST_CONTEXT("seed " << seed << ": " << workers << " workers, " << share << " good, load "
                                    << load)
         {
@@ -232,7 +234,7 @@
         settings.askers = 0;
         watched_pool pool(settings);
         std::mt19937_64 random(seed);
-        pool.lead();
+        pool.start_leader();
         pool.run(seconds(2));
         for (std::uint64_t other = 0; other < seed; ++other) // so that the gang's approved hosts differ
         {
@@ -247,11 +249,11 @@
         {
             submit_small_work(pool, random, workers, 1.6);
         }
-        pool.lead();
+        pool.start_leader();
         for (int tick = 0; tick < 600; ++tick)
         {
             submit_small_work(pool, random, workers, 1.0);
-            pool.watch(milliseconds(100));
+            pool.run_monitored(milliseconds(100));
         }
         BOOST_TEST_CONTEXT("seed " << seed)
         {
@@ -267,7 +269,7 @@
 BOOST_AUTO_TEST_CASE(a_small_gang_does_not_wait_for_gangs_that_cannot_gather_enough)
 {
     watched_pool pool(few_good_hosts(24, 1.0, 1));
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(2));
     pool.submit("batch", {make_step(20, 6000, 40'000)});
     pool.run(seconds(2));
@@ -277,29 +279,29 @@
     }
     pool.run(milliseconds(1500));
     const submission_id small = pool.submit_gang(make_step(4, 8000, 1000, true));
-    pool.watch(seconds(8));
+    pool.run_monitored(seconds(8));
     BOOST_TEST((pool.phase(small) == submission_phase::completed));
     BOOST_TEST(pool.longest_with_room().count() <= bound_with_room.count());
-    BOOST_TEST(pool.broken().empty());
+    BOOST_TEST(pool.violations().empty());
 }
 
 // Late gangs asked about hosts only while most advisor client processes were idle, which was never the case.
 BOOST_AUTO_TEST_CASE(a_late_gang_learns_of_hosts_while_others_keep_the_advisors_busy)
 {
     watched_pool pool(few_good_hosts(24, 0.5, 1));
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(2));
     const submission_id gang = pool.submit_gang(make_step(4, 5850, 500, true));
     pool.run(milliseconds(100));
     pool.unlead(); // until it is late and the advice has been lost
     pool.run(seconds(12));
-    pool.lead();
+    pool.start_leader();
     for (int tick = 0; tick < 80; ++tick)
     {
         pool.submit("urgent", {make_step(1, 500, 200)});
-        pool.watch(milliseconds(50));
+        pool.run_monitored(milliseconds(50));
         pool.submit("batch", {make_step(1, 500, 200)});
-        pool.watch(milliseconds(50));
+        pool.run_monitored(milliseconds(50));
     }
     BOOST_TEST((pool.phase(gang) == submission_phase::completed));
     check(pool);
@@ -312,7 +314,7 @@
     pool_settings settings = few_good_hosts(workers, 1.0, 1);
     settings.mechanisms.switch_off(mechanism::kept_tickets); // they ask once the capacity is there
     watched_pool pool(settings);
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(1));
     step_spec busy = make_step(6, 12000, 60'000);
     busy.per_host_limit = 1;
--- a/tests/src/unit-unsent.cpp
+++ b/tests/src/unit-unsent.cpp
@@ -27,10 +27,10 @@
 {
     for (std::uint64_t seed = 1; seed <= seed_count(20); ++seed)
     {
-        pool_settings settings = small(8);
+        pool_settings settings = small_pool_settings(8);
         settings.seed = seed;
         pool_stand_in pool(settings);
-        pool.lead();
+        pool.start_leader();
         pool.run(seconds(1));
         set_unsent(pool, 8, 0.3);
         std::vector<submission_id> all;
@@ -52,8 +52,8 @@
 
 BOOST_AUTO_TEST_CASE(a_task_whose_orders_cannot_be_sent_goes_elsewhere_before_the_lease_is_over)
 {
-    pool_stand_in pool(small(2));
-    pool.lead();
+    pool_stand_in pool(small_pool_settings(2));
+    pool.start_leader();
     pool.run(seconds(1));
     pool.faults("w0").unsent = 1.0;
     const submission_id id = pool.submit("plain", {make_step(1, 1000, 500)});
@@ -66,10 +66,10 @@
 {
     for (std::uint64_t seed = 1; seed <= seed_count(20); ++seed)
     {
-        pool_settings settings = small(8);
+        pool_settings settings = small_pool_settings(8);
         settings.seed = seed;
         pool_stand_in pool(settings);
-        pool.lead();
+        pool.start_leader();
         pool.run(seconds(1));
         set_unsent(pool, 8, 0.3);
         const submission_id id = pool.submit("gangs", {make_step(8, 4000, 500, true)});
@@ -83,10 +83,10 @@
 // once they were seen to be stalled, and a second such failure exceeded the caller's timeout.
 BOOST_AUTO_TEST_CASE(a_gang_that_cannot_be_whole_is_stopped_at_once)
 {
-    pool_settings settings = small(3);
+    pool_settings settings = small_pool_settings(3);
     settings.good_share = 1.0; // all three are needed
     pool_stand_in pool(settings);
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(1));
     pool.faults("w0").unsent = 1.0;
     const submission_id id = pool.submit("gangs", {make_step(6, 7000, 500, true)});
--- a/tests/src/unit-waits.cpp
+++ b/tests/src/unit-waits.cpp
@@ -74,8 +74,8 @@
     {
         BOOST_TEST_CONTEXT("outcome " << static_cast<int>(outcome))
         {
-            refusing_pool pool(small(2));
-            pool.lead();
+            refusing_pool pool(small_pool_settings(2));
+            pool.start_leader();
             pool.run(seconds(1));
             pool.report("w1", true);
             const submission_id id = pool.submit("plain", {make_step(4, 4000, 500)});
@@ -98,8 +98,8 @@
 // task as running.
 BOOST_AUTO_TEST_CASE(a_task_whose_orders_never_left_goes_elsewhere_although_a_proposal_is_refused)
 {
-    overloaded_pool pool(small(2));
-    pool.lead();
+    overloaded_pool pool(small_pool_settings(2));
+    pool.start_leader();
     pool.run(seconds(1));
     pool.faults("w0").unsent = 1.0;
     const submission_id id = pool.submit("plain", {make_step(1, 1000, 500)});
@@ -117,8 +117,8 @@
 // that never began was rejected.
 BOOST_AUTO_TEST_CASE(a_start_that_is_withdrawn_ends_although_a_proposal_is_refused)
 {
-    overloaded_pool pool(small(2));
-    pool.lead();
+    overloaded_pool pool(small_pool_settings(2));
+    pool.start_leader();
     pool.run(seconds(1));
     pool.report("w1", true, 60'000);
     pool.run(milliseconds(100));
@@ -142,11 +142,11 @@
 {
     for (std::uint64_t seed = 1; seed <= seed_count(20); ++seed)
     {
-        pool_settings settings = small(4);
+        pool_settings settings = small_pool_settings(4);
         settings.seed = seed;
         settings.commit = milliseconds(400);
         pool_stand_in pool(settings);
-        pool.lead();
+        pool.start_leader();
         pool.run(seconds(3));
         for (const char* life : {"w0", "w1", "w2", "w3"})
         {
@@ -168,10 +168,10 @@
 // The host whose turn it was had just died and kept its slot in the wave permanently.
 BOOST_AUTO_TEST_CASE(a_wave_goes_on_behind_a_host_that_is_gone_for_good)
 {
-    pool_settings settings = small(3);
+    pool_settings settings = small_pool_settings(3);
     settings.upkeep = seconds(2);
     pool_stand_in pool(settings);
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(1));
     pool.leave("w0", [] {}); // it did not announce that it was leaving
     pool.begin_upkeep({"h0", "h1", "h2"}, 30, 1);
@@ -188,11 +188,11 @@
 {
     for (const milliseconds commit : {milliseconds(60), milliseconds(120), milliseconds(400)})
     {
-        pool_settings settings = small(4);
+        pool_settings settings = small_pool_settings(4);
         settings.upkeep = seconds(2);
         settings.commit = commit;
         pool_stand_in pool(settings);
-        pool.lead();
+        pool.start_leader();
         pool.run(seconds(3));
         pool.begin_upkeep({"h0", "h1", "h2", "h3"}, 60, 1);
         pool.run(seconds(30));
@@ -208,11 +208,11 @@
 {
 void check_limit_of_a_wave(milliseconds returns_after, bool next_leader)
 {
-    pool_settings settings = small(4);
+    pool_settings settings = small_pool_settings(4);
     settings.upkeep = seconds(2);
     settings.commit = milliseconds(400);
     pool_stand_in pool(settings);
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(3));
     pool.leave("w0", [] {});
     pool.begin_upkeep({"h0", "h1", "h2", "h3"}, 60, 1);
@@ -221,7 +221,7 @@
     pool.run(milliseconds(500)); // it is admitted
     if (next_leader)
     {
-        pool.lead();
+        pool.start_leader();
     }
     pool.run(seconds(50));
     BOOST_TEST(pool.state().waves().at(1).complete());
--- a/tests/src/unit-wave-turns.cpp
+++ b/tests/src/unit-wave-turns.cpp
@@ -23,10 +23,10 @@
 // waited behind the host that runs it.
 BOOST_AUTO_TEST_CASE(a_wave_goes_on_behind_a_host_that_it_may_not_empty)
 {
-    pool_settings settings = small(3);
+    pool_settings settings = small_pool_settings(3);
     settings.upkeep = seconds(2);
     pool_stand_in pool(settings);
-    pool.lead();
+    pool.start_leader();
     pool.run(seconds(1));
     pool.report("w1", true, 60'000);
     pool.report("w2", true, 60'000);
--- a/tests/src/worker_records.hpp
+++ b/tests/src/worker_records.hpp
@@ -36,9 +36,9 @@
     {
         return m_state;
     }
-    [[nodiscard]] const std::vector<std::string>& broken() const
+    [[nodiscard]] const std::vector<std::string>& violations() const
     {
-        return m_broken;
+        return m_violations;
     }
     // Limits the resources that each organisation may use from now on; an empty limit changes nothing.
     void limit_organisations(const resources& limit)
@@ -60,7 +60,7 @@
         m_limited = m_now;
     }
     // Resources in use on workers that are up; everything on a worker is killed once its lease has expired.
-    [[nodiscard]] resources running_of(const std::string& organisation) const
+    [[nodiscard]] resources running_resources_of(const std::string& organisation) const
     {
         resources sum;
         for (const auto& [life, worker] : m_workers)
@@ -70,7 +70,7 @@
                 const submission* owner = m_state.find(run.task.step.submission);
                 const step_spec* step = m_state.find(run.task.step);
                 const bool counts =
-                    !worker.gone && lease_holds(worker) && owner != nullptr && step != nullptr;
+                    !worker.terminated && lease_holds(worker) && owner != nullptr && step != nullptr;
                 sum += counts && owner->organisation == organisation ? step->size : resources{};
             }
         }
@@ -140,16 +140,16 @@
         std::int64_t length_ms{};
         monotonic_time began{};
         std::int32_t pace = 100;
-        bool whole{}; // all members of its gang are present
+        bool assembled{}; // all members of its gang are present
     };
     struct sim_worker
     {
         worker_facts facts;
         worker_faults faults;
         duration clock_zero{}; // when its clock started counting
-        bool gone = false;
+        bool terminated = false;
         // Connections to it are refused: its process has ended, its machine is up.
-        bool refuses = false;
+        bool refuses_connections = false;
         bool draining = false;
         double slowness = 1.0;
         std::uint64_t fence = 0;
@@ -193,11 +193,11 @@
     {
         const bool fresh = m_now - m_limited < limit_known;
         const std::int64_t limit = fresh ? std::max(m_limit.cpu, m_former_limit.cpu) : m_limit.cpu;
-        const std::int64_t uses = running_of(owner.organisation).cpu;
+        const std::int64_t uses = running_resources_of(owner.organisation).cpu;
         if (!owner.organisation.empty() && limit > 0 && uses > limit + limit / 10 + step.size.cpu)
         {
-            m_broken.push_back("resources in use exceed the limit of organisation " + owner.organisation +
-                               ": " + name_of(run));
+            m_violations.push_back("resources in use exceed the limit of organisation " + owner.organisation +
+                                   ": " + name_of(run));
         }
     }
     workload_result commit(const workload_command& command)
@@ -217,9 +217,9 @@
     void extend_lease(sim_worker& worker, std::int64_t until) const
     {
         worker.lease_until =
-            std::max(worker.lease_until, std::min(until, clock_of(worker) + lease_cap.count()));
+            std::max(worker.lease_until, std::min(until, clock_of(worker) + max_lease.count()));
     }
-    static constexpr milliseconds lease_cap{6000};
+    static constexpr milliseconds max_lease{6000};
     [[nodiscard]] bool lease_holds(const sim_worker& worker) const
     {
         return worker.lease_until >= clock_of(worker);
@@ -241,10 +241,10 @@
     {
         const auto found = m_workers.find(life);
         const bool silent =
-            found == m_workers.end() || found->second.gone || found->second.faults.unresponsive;
+            found == m_workers.end() || found->second.terminated || found->second.faults.unresponsive;
         return silent ? nullptr : &found->second;
     }
-    double unit()
+    double random_fraction()
     {
         return std::uniform_real_distribution<double>(0.0, 1.0)(m_random);
     }
@@ -260,9 +260,9 @@
     resources m_limit{}; // of each organisation
     resources m_former_limit{};
     monotonic_time m_limited{};
-    std::set<task_ref> m_done;                              // some run of it completed
-    std::set<task_ref> m_noted;                             // and the leader acknowledged that
-    std::map<task_ref, std::set<std::string>> m_started_at; // ids of the workers
+    std::set<task_ref> m_completed_tasks;                           // some run of it completed
+    std::set<task_ref> m_noted;                                     // and the leader acknowledged that
+    std::map<task_ref, std::set<std::string>> m_workers_started_on; // ids of the workers
     std::map<task_ref, monotonic_time> m_last_start;
     std::map<task_ref, monotonic_time> m_may_come; // unanswered orders may be carried out until then
     std::map<task_ref, std::size_t> m_starts;
@@ -272,7 +272,7 @@
     std::set<std::string> m_upkept;   // hosts whose maintenance began
     std::set<std::string> m_down_now; // those of them that are down
     std::size_t m_most_down = 0;
-    std::vector<std::string> m_broken;
+    std::vector<std::string> m_violations;
 };
 
 // Makes one step of `count` tasks.
--- a/tests/src/worker_stand_in.hpp
+++ b/tests/src/worker_stand_in.hpp
@@ -21,7 +21,7 @@
         end(worker, run, run_end::failed);
     }
     // Whether the advisor approves the worker for the step.
-    [[nodiscard]] bool is_good(const step_ref& step, const std::string& life) const
+    [[nodiscard]] bool advisor_allows(const step_ref& step, const std::string& life) const
     {
         const std::size_t mixed = std::hash<std::string>{}(name_of(step) + m_workers.at(life).facts.host);
         return static_cast<double>(mixed % 1000U) < m_settings.good_share * 1000.0;
@@ -47,10 +47,10 @@
                                        {
                                            const sim_worker& worker = item.second;
                                            return worker.facts.address == to.address && item.first != to.id &&
-                                                  !worker.gone && !worker.faults.unresponsive;
+                                                  !worker.terminated && !worker.faults.unresponsive;
                                        });
         const auto meant = m_workers.find(to.id);
-        const bool refused = meant != m_workers.end() && meant->second.refuses;
+        const bool refused = meant != m_workers.end() && meant->second.refuses_connections;
         // A call on an open connection is sent and gets no answer; afterwards there is no connection to that
         // address.
         const bool connected = !refused && m_connected.contains({to.id, to.fence});
@@ -60,14 +60,14 @@
                                                   : order_outcome::unreachable;
         at(other || refused ? duration(m_settings.network_delay)
            : connected      ? timeout
-                            : duration(connect_patience),
+                            : duration(connect_timeout),
            [handler, outcome]
            {
                handler({outcome, {}, false});
            });
     }
-    static constexpr milliseconds order_patience{600};
-    static constexpr milliseconds connect_patience{700};
+    static constexpr milliseconds order_timeout{600};
+    static constexpr milliseconds connect_timeout{700};
     static constexpr milliseconds late_bound{12000}; // the platform's bound for unanswered orders
 
     [[nodiscard]] double unsent_share(const std::string& life) const
@@ -75,10 +75,10 @@
         const auto worker = m_workers.find(life);
         return worker == m_workers.end() ? 0.0 : worker->second.faults.unsent;
     }
-    void take_start(const start_task_order& order, const std::function<void(const order_answer&)>& handler,
-                    bool late)
+    void handle_start(const start_task_order& order, const std::function<void(const order_answer&)>& handler,
+                      bool late)
     {
-        if (const double share = unsent_share(order.to.id); share > 0.0 && unit() < share)
+        if (const double share = unsent_share(order.to.id); share > 0.0 && random_fraction() < share)
         {
             answer_later(handler, {order_outcome::not_sent, std::nullopt, false});
             return;
@@ -86,24 +86,24 @@
         sim_worker* worker = find(order.to.id);
         if (worker == nullptr)
         {
-            answer_for_other(order.to, order_patience, handler);
+            answer_for_other(order.to, order_timeout, handler);
             return;
         }
-        if (!late && unit() < worker->faults.late)
+        if (!late && random_fraction() < worker->faults.late)
         {
             m_may_come[order.run.task] = m_now + late_bound;
-            at(order_patience,
+            at(order_timeout,
                [handler]
                {
                    handler({order_outcome::unanswered, {}, false});
                });
-            at(milliseconds(2000 + static_cast<int>(unit() * 10000)),
+            at(milliseconds(2000 + static_cast<int>(random_fraction() * 10000)),
                [this, order, born = worker->facts.born, outlives = worker->faults.late_outlives]
                {
                    const sim_worker* there = find(order.to.id);
                    if (there != nullptr && (outlives || there->facts.born == born))
                    {
-                       take_start(
+                       handle_start(
                            order, [](const order_answer&) {}, true);
                    }
                });
@@ -146,14 +146,14 @@
         {
             return order_outcome::late;
         }
-        if (unit() < worker.faults.refuse)
+        if (random_fraction() < worker.faults.refuse)
         {
             return order_outcome::unhealthy;
         }
         const submission* owner = m_state.find(order.run.task.step.submission);
         if (m_state.find(order.run.task.step) == nullptr)
         {
-            m_broken.push_back("started after its submission ended: " + name_of(order.run));
+            m_violations.push_back("started after its submission ended: " + name_of(order.run));
             return order_outcome::rejected;
         }
         const queue_spec* queue = find_queue_by_name(*m_state.held_catalogue(), owner->queue);
@@ -166,8 +166,8 @@
             worker.leaving_acknowledged && m_now - *worker.leaving_acknowledged > leaving_bound;
         if (leaves && !late)
         {
-            m_broken.push_back("started on a leaving worker: " + name_of(order.run) + " on " +
-                               worker.facts.id);
+            m_violations.push_back("started on a leaving worker: " + name_of(order.run) + " on " +
+                                   worker.facts.id);
         }
         begin(worker, order, *owner);
         if (!late)
@@ -219,7 +219,7 @@
         for (std::uint32_t index = 0; index < step.count; ++index)
         {
             const run_ref member{task_ref{run.task.step, index}, run.run};
-            for (const std::string& life : m_started_at[member.task])
+            for (const std::string& life : m_workers_started_on[member.task])
             {
                 if (m_workers[life].running.contains(member))
                 {
@@ -237,7 +237,7 @@
         {
             for (const auto& [life, member] : members)
             {
-                m_workers[life].running[member].whole = true;
+                m_workers[life].running[member].assembled = true;
                 finish_at(life, member, milliseconds(static_cast<std::int64_t>(length)));
             }
         }
@@ -250,7 +250,7 @@
            {
                sim_worker& worker = m_workers[life];
                const auto found = worker.running.find(run);
-               if (found != worker.running.end() && !found->second.whole && worker.facts.born == born)
+               if (found != worker.running.end() && !found->second.assembled && worker.facts.born == born)
                {
                    end(worker, run, run_end::lonely);
                }
@@ -265,7 +265,7 @@
                sim_worker& worker = m_workers[life];
                lapse_if_over(worker);
                const auto found = worker.running.find(run);
-               if (found != worker.running.end() && !worker.gone && worker.facts.born == born)
+               if (found != worker.running.end() && !worker.terminated && worker.facts.born == born)
                {
                    end(worker, run, found->second.fails ? run_end::failed : run_end::completed);
                }
@@ -274,24 +274,24 @@
     void check_start(const sim_worker& worker, const run_ref& run, const step_spec& step,
                      const submission& owner)
     {
-        for (const std::string& life : m_started_at[run.task])
+        for (const std::string& life : m_workers_started_on[run.task])
         {
             const sim_worker& other = m_workers[life];
             const auto first = other.running.lower_bound(run_ref{run.task, 0});
             for (auto at = first; at != other.running.end() && at->first.task == run.task; ++at)
             {
-                if (!other.gone && lease_holds(other))
+                if (!other.terminated && lease_holds(other))
                 {
-                    m_broken.push_back("two runs at once: " + name_of(run) + " while " + name_of(at->first) +
-                                       " runs on " + life);
+                    m_violations.push_back("two runs at once: " + name_of(run) + " while " +
+                                           name_of(at->first) + " runs on " + life);
                 }
             }
         }
-        m_started_at[run.task].insert(worker.facts.id);
+        m_workers_started_on[run.task].insert(worker.facts.id);
         m_last_start[run.task] = m_now;
         if (m_noted.contains(run.task))
         {
-            m_broken.push_back("started after its completion was acknowledged: " + name_of(run));
+            m_violations.push_back("started after its completion was acknowledged: " + name_of(run));
         }
         resources used = room_of(step);
         for (const auto& [other, state] : worker.running)
@@ -301,15 +301,15 @@
         }
         if (!fits(used, worker.facts.size))
         {
-            m_broken.push_back("capacity exceeded: " + name_of(run) + " on " + worker.facts.id);
+            m_violations.push_back("capacity exceeded: " + name_of(run) + " on " + worker.facts.id);
         }
         for (const std::uint32_t earlier : step.after)
         {
             for (std::uint32_t i = 0; i < owner.spec.steps[earlier].count; ++i)
             {
-                if (!m_done.contains(task_ref{{owner.id, run.task.step.round, earlier}, i}))
+                if (!m_completed_tasks.contains(task_ref{{owner.id, run.task.step.round, earlier}, i}))
                 {
-                    m_broken.push_back("started before its dependency completed: " + name_of(run));
+                    m_violations.push_back("started before its dependency completed: " + name_of(run));
                 }
             }
         }
@@ -331,18 +331,18 @@
         const step_spec* spec = m_state.find(run.task.step);
         if (how == run_end::completed && spec != nullptr && !spec->lasting)
         {
-            m_done.insert(run.task);
+            m_completed_tasks.insert(run.task);
         }
         answer_look(worker);
     }
 
-    void take_stop(const stop_task_order& order, const std::function<void(const order_answer&)>& handler,
-                   bool late = false)
+    void handle_stop(const stop_task_order& order, const std::function<void(const order_answer&)>& handler,
+                     bool late = false)
     {
         sim_worker* worker = find(order.to.id);
         if (worker == nullptr)
         {
-            answer_for_other(order.to, order_patience, handler);
+            answer_for_other(order.to, order_timeout, handler);
             return;
         }
         if (order.to.fence < worker->fence)
@@ -350,17 +350,17 @@
             answer_later(handler, {order_outcome::fenced, clock_of(*worker), false});
             return;
         }
-        if (!late && unit() < worker->faults.late_stops)
+        if (!late && random_fraction() < worker->faults.late_stops)
         {
-            at(order_patience,
+            at(order_timeout,
                [handler]
                {
                    handler({order_outcome::unanswered, {}, false});
                });
-            at(milliseconds(2000 + static_cast<int>(unit() * 10000)),
+            at(milliseconds(2000 + static_cast<int>(random_fraction() * 10000)),
                [this, order]
                {
-                   take_stop(
+                   handle_stop(
                        order, [](const order_answer&) {}, true);
                });
             return;
@@ -382,7 +382,7 @@
         answer_later(handler, {order_outcome::accepted, clock_of(*worker), false});
     }
 
-    void take_look(const look_order& order, const std::function<void(const look_answer&)>& handler)
+    void handle_poll(const look_order& order, const std::function<void(const look_answer&)>& handler)
     {
         sim_worker* worker = find(order.to.id);
         if (worker != nullptr && worker->faults.polls_not_sent)
@@ -390,7 +390,7 @@
             handler({order_outcome::not_sent, {}, 0, {}, {}});
             return;
         }
-        const bool lost = worker != nullptr && unit() < worker->faults.poll_loss;
+        const bool lost = worker != nullptr && random_fraction() < worker->faults.poll_loss;
         if (lost)
         {
             at(order.timeout + milliseconds(order.wait_ms),
@@ -463,7 +463,7 @@
     // An end counts once the leader has acknowledged it, unless the lease has expired since.
     void take_note(const sim_worker& worker, const listed_end& item)
     {
-        if (item.how != run_end::completed || !m_done.contains(item.run.task) ||
+        if (item.how != run_end::completed || !m_completed_tasks.contains(item.run.task) ||
             worker.lapsed_at > worker.ended_at.at(item.number))
         {
             return;
@@ -471,7 +471,7 @@
         m_noted.insert(item.run.task);
         if (m_last_start[item.run.task] > worker.ended_at.at(item.number))
         {
-            m_broken.push_back(
+            m_violations.push_back(
                 "started again after its completion was acknowledged: " + name_of(item.run) + " on " +
                 worker.facts.id + ", ended at " +
                 std::to_string(worker.ended_at.at(item.number).time_since_epoch().count() / 1000) +
@@ -496,7 +496,7 @@
     }
     void answer_look(sim_worker& worker)
     {
-        if (!worker.waiting_look || worker.gone || worker.faults.unresponsive)
+        if (!worker.waiting_look || worker.terminated || worker.faults.unresponsive)
         {
             return;
         }
