--- a/bench/bench_leader.cpp
+++ b/bench/bench_leader.cpp
@@ -246,7 +246,7 @@
         out.fabric.data_folder = m_folder.string();
         out.fabric.founding = true;
         out.fabric.losses_borne = 0;
-        out.descriptors.looks = 6000;
+        out.descriptors.polls = 6000;
         out.descriptors.orders = 2000;
         return out;
     }
--- a/include/walkthread/fabric/advice_desk.hpp
+++ b/include/walkthread/fabric/advice_desk.hpp
@@ -24,12 +24,12 @@
     using answer_handler = std::function<void(const advice_answer&)>;
     /// @param ask sends a query through one client; the response may arrive at any time
     explicit advice_desk(
-        std::function<void(const std::string& asker, const advice_question&, answer_handler)> ask);
+        std::function<void(const std::string& client, const advice_question&, answer_handler)> ask);
 
     /// @brief Records that a process is alive and can query the advisor.
-    void note_asker(const std::string& asker, monotonic_time now);
+    void note_asker(const std::string& client, monotonic_time now);
     /// @brief Queues a query. Urgent queries go first unless a normal one has waited for too long.
-    void put(const advice_question& question, bool urgent, answer_handler handler, monotonic_time now);
+    void enqueue(const advice_question& question, bool urgent, answer_handler handler, monotonic_time now);
     /// @brief Discards all queries; called when this process loses leadership.
     void clear();
 
@@ -58,18 +58,18 @@
     };
     struct asker_state
     {
-        monotonic_time seen{};
-        monotonic_time avoid_until{}; ///< set by a failure, cleared by a response
+        monotonic_time last_seen{};
+        monotonic_time backoff_until{}; ///< set by a failure, cleared by a response
         bool busy{};
     };
 
     void send_next(monotonic_time now);
-    void send(const std::string& asker, const open_question& item, bool urgent, monotonic_time now);
+    void send(const std::string& client, const open_question& item, bool urgent, monotonic_time now);
     [[nodiscard]] std::string free_asker(monotonic_time now) const;
     [[nodiscard]] std::size_t live_askers(monotonic_time now) const;
 
     std::function<void(const std::string&, const advice_question&, answer_handler)> m_ask;
-    std::map<std::string, asker_state> m_askers;
+    std::map<std::string, asker_state> m_clients;
     std::deque<open_question> m_urgent;
     std::deque<open_question> m_normal;
     std::size_t m_busy = 0;
--- a/include/walkthread/fabric/call_router.hpp
+++ b/include/walkthread/fabric/call_router.hpp
@@ -33,7 +33,7 @@
     /// @param peers the mesh that calls are sent over
     /// @param local handles a call if this process leads; returns whether it did
     call_router(boost::asio::io_context& loop, mesh& peers,
-                std::function<bool(const service_call&, const call_handler&)> local);
+                std::function<bool(const service_call&, const call_handler&)> local_handler);
     ~call_router();
     call_router(const call_router&) = delete;
     call_router& operator=(const call_router&) = delete;
@@ -41,11 +41,11 @@
     /// @brief Sends a call to the leader, and again if the leader changes or does not reply. Once a leader
     /// outage exceeds the hold time, calls from callers that were not sent yet get `unavailable` at once.
     /// @param timeout after this time the reply is `unknown`, or `unavailable` if the call was never sent
-    void call(service_call body, milliseconds patience, call_handler handler);
+    void call(service_call body, milliseconds timeout, call_handler handler);
     /// @brief Sends a call to one peer, without retries.
-    void call_peer(const std::string& peer, service_call body, milliseconds patience, call_handler handler);
+    void call_peer(const std::string& peer, service_call body, milliseconds timeout, call_handler handler);
     /// @brief Handles a received reply.
-    void take_reply(reply_note note);
+    void take_reply(reply_note message);
     /// @brief Sets the current leader, empty for unknown. Pending calls are sent to it at once.
     void set_leader(const std::string& leader);
 
@@ -74,19 +74,19 @@
         service_call body;
         std::string encoded; ///< filled when the call is first sent to a peer
         call_handler handler;
-        monotonic_time give_up{};
+        monotonic_time deadline{};
         monotonic_time sent{};
         bool ever_sent{};
         bool of_caller{}; ///< rejected, if it was not sent, once an outage exceeds the hold time
         bool to_leader{};
     };
 
-    [[nodiscard]] service_reply refuse_without_leader(milliseconds patience, monotonic_time now);
+    [[nodiscard]] service_reply refuse_without_leader(milliseconds timeout, monotonic_time now);
     void give_up_hopeless(monotonic_time now);
     void send(std::uint64_t number, waiting_call& item, const std::string& to);
     void finish(std::uint64_t number, service_reply reply);
     void arm();
-    void look_at_all();
+    void check_deadlines();
 
     mesh& m_mesh;
     std::function<bool(const service_call&, const call_handler&)> m_local;
--- a/include/walkthread/fabric/connection_pool.hpp
+++ b/include/walkthread/fabric/connection_pool.hpp
@@ -30,14 +30,14 @@
 /// @brief Priority of a call that waits for a connection. Lower values go first, then the older call.
 enum class call_need : std::uint8_t
 {
-    pressing, ///< latency-sensitive, or a whole gang waits for this task
+    urgent, ///< latency-sensitive, or a whole gang waits for this task
     usual,
 };
 
 /// @brief Limits of a pool.
 struct connection_pool_settings
 {
-    std::size_t most = 1000;                ///< connections in total; from the descriptor budget
+    std::size_t max_connections = 1000;     ///< connections in total; from the descriptor budget
     std::size_t most_each = 1;              ///< connections to one address
     duration busy_lasts = milliseconds(25); ///< how long a call waits for a busy connection to its address
                                             ///< before another is opened: orders take only a few ms
@@ -50,7 +50,7 @@
     pooled_call call{};
     pooled_id connection{};
     std::string address;
-    bool fresh{};                      ///< the connection has to be opened
+    bool is_new{};                     ///< the connection has to be opened
     std::optional<pooled_id> replaced; ///< an idle connection that has to be closed first
 };
 
@@ -71,8 +71,8 @@
 
     /// @brief Requests a connection for a call. Without a grant the call waits. Complexity: logarithmic.
     /// @param deadline time from which `expire` returns the call if it still waits
-    std::optional<pool_grant> want(pooled_call call, const std::string& address, call_need need,
-                                   monotonic_time give_up, monotonic_time now);
+    std::optional<pool_grant> acquire(pooled_call call, const std::string& address, call_need priority,
+                                      monotonic_time deadline, monotonic_time now);
     /// @brief Opens more connections for calls that have waited `busy_wait_limit` for a busy one.
     std::vector<pool_grant> open_more(monotonic_time now);
     /// @brief Returns a connection after its call has finished.
@@ -99,19 +99,19 @@
 
   private:
     /// Order of waiting calls: priority, then age.
-    using turn = std::pair<call_need, std::uint64_t>;
+    using queue_position = std::pair<call_need, std::uint64_t>;
     struct waiting_call
     {
         pooled_call call{};
-        monotonic_time give_up{};
+        monotonic_time deadline{};
         bool waits_for_own{}; ///< for a busy connection to its address, not for another one
     };
     struct address_state
     {
         std::size_t open{};
         std::vector<pooled_id> idle; ///< most recently used last, used first
-        std::map<turn, waiting_call> waiting;
-        std::optional<turn> in_line; ///< its key in `m_waiting_for_capacity`
+        std::map<queue_position, waiting_call> waiting;
+        std::optional<queue_position> in_line; ///< its key in `m_waiting_for_capacity`
     };
     struct idle_connection
     {
@@ -135,10 +135,10 @@
     connection_pool_settings m_settings;
     std::map<std::string, address_state> m_addresses;
     std::map<pooled_id, connection_state> m_connections;
-    std::list<idle_connection> m_idle;   ///< least recently used first
-    std::map<turn, std::string> m_short; ///< addresses whose first call waits for pool capacity
-    std::set<std::tuple<monotonic_time, turn, std::string>> m_deadlines;
-    std::set<std::tuple<monotonic_time, turn, std::string>>
+    std::list<idle_connection> m_idle;             ///< least recently used first
+    std::map<queue_position, std::string> m_short; ///< addresses whose first call waits for pool capacity
+    std::set<std::tuple<monotonic_time, queue_position, std::string>> m_deadlines;
+    std::set<std::tuple<monotonic_time, queue_position, std::string>>
         m_patient; ///< calls that wait for a busy connection, by the end of that wait
     std::uint64_t m_next_connection = 1;
     std::uint64_t m_next_turn = 1;
--- a/include/walkthread/fabric/core_node.hpp
+++ b/include/walkthread/fabric/core_node.hpp
@@ -30,14 +30,14 @@
     milliseconds voter_silent{
         2500};                ///< silence after which a learner may replace a voter; longer than an election
     milliseconds pass_gap{2}; ///< least time between passes, so that one pass handles several answers
-    milliseconds review_every{500};   ///< how often the leader checks for silent or lagging members
+    milliseconds member_review_interval{500}; ///< how often the leader checks for silent or lagging members
     milliseconds member_behind{1200}; ///< silence after which a member is reported; longer than an election
     milliseconds report_again{1000};  ///< how often a lagging member is reported again
     std::uint64_t lag_reported = 500; ///< in entries; about two seconds under load
     milliseconds leader_heard{400};   ///< a replica with leader contact within this time has current worker
                                       ///< descriptions: above three heartbeats, below an election and a lease
     milliseconds asker_known{5000}; ///< processes that queried within this time are notified of a new leader
-    newcomer_settings newcomers{};
+    newcomer_settings join_rules{};
     dispatch_settings dispatch{};
 };
 
@@ -46,8 +46,8 @@
 class core_node final : public fabric_node
 {
   public:
-    core_node(boost::asio::io_context& loop, fabric_settings settings, core_node_settings times,
-              outside_hooks outside, decision_log& log, std::function<void(const storage_error&)> stop);
+    core_node(boost::asio::io_context& loop, fabric_settings settings, core_node_settings core_settings,
+              outside_hooks hooks, decision_log& log, std::function<void(const storage_error&)> stop);
     ~core_node() override;
 
     /// @brief Opens the data folder and starts.
@@ -59,7 +59,7 @@
     void fill(figure_page& page) const override;
 
   protected:
-    void take(const std::string& from, mesh_message message) override;
+    void receive(const std::string& from, mesh_message message) override;
     bool handle_locally(const service_call& body, const call_handler& handler) override;
     void ask_around(monotonic_time now) override;
     [[nodiscard]] std::optional<service_reply> answer_at_once(const service_call& body,
@@ -144,8 +144,8 @@
         monotonic_time asked{};
         bool can_advise{}; ///< it can reach the placement advisor
     };
-    std::map<std::string, known_asker> m_askers;   ///< by address; notified of a new leader
-    std::map<replica_id, monotonic_time> m_behind; ///< when lagging members were last reported
+    std::map<std::string, known_asker> m_leader_clients; ///< by address; notified of a new leader
+    std::map<replica_id, monotonic_time> m_behind;       ///< when lagging members were last reported
     boost::asio::steady_timer m_pass_timer;
     bool m_pass_due = false;
     bool m_stopping = false;
--- a/include/walkthread/fabric/descriptor_budget.hpp
+++ b/include/walkthread/fabric/descriptor_budget.hpp
@@ -24,12 +24,12 @@
     std::size_t files{};   ///< log, snapshots, directories, standard streams, the event loop
     std::size_t peers{};   ///< links to and from other processes, both directions together
     std::size_t callers{}; ///< incoming HTTP connections: callers, operators, workers' reports
-    std::size_t looks{};   ///< connections for polling workers
+    std::size_t polls{};   ///< connections for polling workers
     std::size_t orders{};  ///< connections for orders to workers
 
     [[nodiscard]] std::size_t sum() const
     {
-        return files + peers + callers + looks + orders;
+        return files + peers + callers + polls + orders;
     }
 };
 
--- a/include/walkthread/fabric/fabric_node.hpp
+++ b/include/walkthread/fabric/fabric_node.hpp
@@ -57,7 +57,7 @@
 class fabric_node
 {
   public:
-    fabric_node(boost::asio::io_context& loop, fabric_settings settings, outside_hooks outside,
+    fabric_node(boost::asio::io_context& loop, fabric_settings settings, outside_hooks hooks,
                 decision_log& log);
     virtual ~fabric_node();
     fabric_node(const fabric_node&) = delete;
@@ -67,7 +67,7 @@
     /// @return an error message, or an empty string on success
     virtual std::string start();
     /// @brief Sends a call to the leader; see `call_router::call`.
-    void call(service_call body, milliseconds patience, call_handler handler);
+    void call(service_call body, milliseconds timeout, call_handler handler);
     /// @brief The address of the leader that calls are sent to; empty for unknown.
     [[nodiscard]] const std::string& leader() const
     {
@@ -90,7 +90,7 @@
     virtual void fill(figure_page& page) const;
 
   protected:
-    virtual void take(const std::string& from, mesh_message message);
+    virtual void receive(const std::string& from, mesh_message message);
     virtual bool handle_locally(const service_call& body, const call_handler& handler);
     virtual void ask_around(monotonic_time now);
     /// @brief The reply to a call, if this process can give it without the leader.
@@ -100,7 +100,7 @@
         return std::nullopt;
     }
     void note_suspension();
-    void note(std::string_view event, std::string_view subject, std::initializer_list<log_field> fields);
+    void log_event(std::string_view event, std::string_view subject, std::initializer_list<log_field> fields);
     void answer_call(const std::string& from, const call_note& message);
     /// @brief Sets the leader that calls are sent to; empty for unknown. Each change of the leader or its
     /// term is logged, also a change without an outage in between.
@@ -124,7 +124,7 @@
   private:
     void tick();
     duration m_suspended;              ///< total time this machine had been suspended at the last check
-    std::string m_followed;            ///< the leader in the last logged leader event
+    std::string m_logged_leader;       ///< the leader in the last logged leader event
     std::uint64_t m_followed_term = 0; ///< the term in that event
     std::uint64_t m_leader_changes = 0;
 };
--- a/include/walkthread/fabric/leader_outage.hpp
+++ b/include/walkthread/fabric/leader_outage.hpp
@@ -47,11 +47,12 @@
     /// @param draw a random number in [0, 1]
     /// @param timeout how long the caller would still wait; the retry time is not later, except for the
     /// minimum of 1 s
-    [[nodiscard]] std::int64_t come_back_s(monotonic_time now, double draw, milliseconds patience) const;
+    [[nodiscard]] std::int64_t choose_retry_after_s(monotonic_time now, double draw,
+                                                    milliseconds timeout) const;
 
   private:
     leader_outage_settings m_settings;
-    std::optional<monotonic_time> m_since;
+    std::optional<monotonic_time> m_outage_start;
 };
 
 } // namespace walkthread
--- a/include/walkthread/fabric/leader_watch.hpp
+++ b/include/walkthread/fabric/leader_watch.hpp
@@ -33,7 +33,7 @@
     leader_watch(std::vector<std::string> seeds, leader_watch_settings settings);
 
     /// @brief Handles a leader status message.
-    void take(const std::string& from, const leader_note& note, monotonic_time now);
+    void receive(const std::string& from, const leader_note& leader_report, monotonic_time now);
     /// @brief The peers to query now; empty if no query is due.
     [[nodiscard]] std::vector<std::string> whom_to_ask(monotonic_time now);
     /// @brief Adds seeds after a settings reload.
@@ -51,17 +51,17 @@
     }
     [[nodiscard]] const std::set<std::string>& known() const
     {
-        return m_known;
+        return m_known_peers;
     }
 
   private:
     leader_watch_settings m_settings;
-    std::set<std::string> m_known;
+    std::set<std::string> m_known_peers;
     std::string m_leader;
     std::string m_last_other; ///< the peer last queried in addition to the leader
     std::uint64_t m_term = 0;
-    monotonic_time m_heard{};
-    monotonic_time m_asked{};
+    monotonic_time m_last_leader_contact{};
+    monotonic_time m_last_query{};
 };
 
 } // namespace walkthread
--- a/include/walkthread/fabric/pooled_client.hpp
+++ b/include/walkthread/fabric/pooled_client.hpp
@@ -35,7 +35,7 @@
 
     /// @brief Sends a request as soon as a connection is available.
     /// @param timeout limit for the wait for a connection, and again for the request itself
-    void send(const std::string& address, web_request request, call_need need, milliseconds patience,
+    void send(const std::string& address, web_request request, call_need priority, milliseconds timeout,
               web_answer_handler handler);
     /// @brief Adds the metrics of the connections to a metrics page.
     void fill(figure_page& page) const;
@@ -44,7 +44,7 @@
     struct open_call
     {
         web_request request;
-        milliseconds patience{};
+        milliseconds timeout{};
         web_answer_handler handler;
     };
 
@@ -52,7 +52,7 @@
     void finish(pooled_id connection, const web_answer_handler& handler, const web_result& outcome);
     void close(pooled_id connection);
     void arm();
-    void give_up(const std::vector<pooled_call>& calls, monotonic_time now);
+    void fail_expired(const std::vector<pooled_call>& calls, monotonic_time now);
 
     boost::asio::io_context& m_loop;
     std::string m_name;
@@ -62,7 +62,7 @@
     std::map<pooled_call, open_call> m_waiting;
     boost::asio::steady_timer m_timer;
     bool m_armed = false;
-    monotonic_time m_pruned{};
+    monotonic_time m_last_prune{};
     std::uint64_t m_next_call = 1;
     std::uint64_t m_opened = 0;
     std::uint64_t m_replaced = 0;
--- a/include/walkthread/fabric/replica_host.hpp
+++ b/include/walkthread/fabric/replica_host.hpp
@@ -65,7 +65,7 @@
 
     void tick();
     void write(const replica_output& output);
-    void written(const result<done, storage_error>& outcome);
+    void handle_write_result(const result<done, storage_error>& outcome);
     void store_snapshot_if_due();
     void run_on_disk(std::function<result<done, storage_error>()> job,
                      std::function<void(const result<done, storage_error>&)> then);
@@ -78,11 +78,11 @@
     boost::asio::steady_timer m_timer;
     boost::asio::steady_timer m_retry;
     std::unique_ptr<disk> m_disk;
-    std::vector<replica_envelope> m_held; ///< sent once the write in progress is durable
+    std::vector<replica_envelope> m_held_messages; ///< sent once the write in progress is durable
     bool m_writing = false;
-    bool m_refused = false; ///< the last write was rejected; cleared and reported by the next success
+    bool m_write_refused = false; ///< the last write was rejected; cleared and reported by the next success
     bool m_pumping = false;
-    bool m_again = false;
+    bool m_pump_again = false;
     bool m_failed = false;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
--- a/include/walkthread/fabric/web_client.hpp
+++ b/include/walkthread/fabric/web_client.hpp
@@ -43,7 +43,7 @@
     virtual ~web_channel() = default;
     /// @brief Sends a request.
     /// @param timeout counted from when the request leaves the queue
-    virtual void send(web_request request, milliseconds patience, web_answer_handler handler) = 0;
+    virtual void send(web_request request, milliseconds timeout, web_answer_handler handler) = 0;
     /// @brief Closes the connection; queued requests fail with `not_sent`.
     virtual void close() = 0;
     /// @brief Whether there is an open connection that the next request would use.
--- a/src/fabric/advice_desk.cpp
+++ b/src/fabric/advice_desk.cpp
@@ -10,11 +10,12 @@
 {
 constexpr duration asker_lasts = seconds(2); // clients report every 0.4 s
 constexpr duration pause_after_failure =
-    seconds(1);                               // a client that got no response is not used for this time
-constexpr double idle_part = 0.4;             // share of idle clients from which late work may query too
-constexpr std::size_t kept_for_urgent = 2;    // if there are at least twice as many clients
-constexpr duration longest_wait = seconds(1); // then a normal query goes ahead of urgent ones; otherwise a
-                                              // burst of urgent work delays a long-running task for seconds
+    seconds(1);                            // a client that got no response is not used for this time
+constexpr double idle_part = 0.4;          // share of idle clients from which late work may query too
+constexpr std::size_t kept_for_urgent = 2; // if there are at least twice as many clients
+constexpr duration max_normal_wait =
+    seconds(1); // then a normal query goes ahead of urgent ones; otherwise a
+                // burst of urgent work delays a long-running task for seconds
 } // namespace
 
 advice_desk::advice_desk(std::function<void(const std::string&, const advice_question&, answer_handler)> ask)
@@ -22,15 +23,15 @@
 {
 }
 
-void advice_desk::note_asker(const std::string& asker, monotonic_time now)
+void advice_desk::note_asker(const std::string& client, monotonic_time now)
 {
-    asker_state& state = m_askers[asker];
-    state.seen = std::max(state.seen, now);
+    asker_state& state = m_clients[client];
+    state.last_seen = std::max(state.last_seen, now);
     send_next(now);
 }
 
-void advice_desk::put(const advice_question& question, bool urgent, answer_handler handler,
-                      monotonic_time now)
+void advice_desk::enqueue(const advice_question& question, bool urgent, answer_handler handler,
+                          monotonic_time now)
 {
     (urgent ? m_urgent : m_normal).push_back({question, std::move(handler), now});
     send_next(now);
@@ -41,7 +42,7 @@
     ++m_generation;
     m_urgent.clear();
     m_normal.clear();
-    for (auto& [name, state] : m_askers)
+    for (auto& [name, state] : m_clients)
     {
         state.busy = false;
     }
@@ -51,22 +52,22 @@
 
 std::size_t advice_desk::live_askers(monotonic_time now) const
 {
-    return static_cast<std::size_t>(std::count_if(m_askers.begin(), m_askers.end(),
+    return static_cast<std::size_t>(std::count_if(m_clients.begin(), m_clients.end(),
                                                   [now](const auto& item)
                                                   {
-                                                      return now - item.second.seen < asker_lasts;
+                                                      return now - item.second.last_seen < asker_lasts;
                                                   }));
 }
 
 bool advice_desk::mostly_idle(monotonic_time now) const
 {
-    const auto idle =
-        std::count_if(m_askers.begin(), m_askers.end(),
-                      [now](const auto& item)
-                      {
-                          const asker_state& state = item.second;
-                          return !state.busy && now - state.seen < asker_lasts && now >= state.avoid_until;
-                      });
+    const auto idle = std::count_if(m_clients.begin(), m_clients.end(),
+                                    [now](const auto& item)
+                                    {
+                                        const asker_state& state = item.second;
+                                        return !state.busy && now - state.last_seen < asker_lasts &&
+                                               now >= state.backoff_until;
+                                    });
     return static_cast<double>(idle) >= idle_part * static_cast<double>(live_askers(now));
 }
 
@@ -76,13 +77,13 @@
 {
     std::string best;
     monotonic_time failed{};
-    for (const auto& [name, state] : m_askers)
+    for (const auto& [name, state] : m_clients)
     {
-        const bool free = !state.busy && now - state.seen < asker_lasts && now >= state.avoid_until;
-        if (free && (best.empty() || state.avoid_until < failed))
+        const bool free = !state.busy && now - state.last_seen < asker_lasts && now >= state.backoff_until;
+        if (free && (best.empty() || state.backoff_until < failed))
         {
             best = name;
-            failed = state.avoid_until;
+            failed = state.backoff_until;
         }
     }
     return best;
@@ -93,29 +94,29 @@
     for (;;)
     {
         const std::size_t live = live_askers(now);
-        const std::size_t for_normal = live >= 2 * kept_for_urgent ? live - kept_for_urgent : live;
-        const bool normal = !m_normal.empty() && m_busy_normal < for_normal;
-        const bool overdue = normal && now - m_normal.front().since > longest_wait;
-        const bool urgent = !m_urgent.empty() && !overdue;
-        const std::string asker = urgent || normal ? free_asker(now) : std::string{};
-        if (asker.empty())
+        const std::size_t normal_limit = live >= 2 * kept_for_urgent ? live - kept_for_urgent : live;
+        const bool normal = !m_normal.empty() && m_busy_normal < normal_limit;
+        const bool waited_too_long = normal && now - m_normal.front().since > max_normal_wait;
+        const bool urgent = !m_urgent.empty() && !waited_too_long;
+        const std::string client = urgent || normal ? free_asker(now) : std::string{};
+        if (client.empty())
         {
             return;
         }
         auto& queue = urgent ? m_urgent : m_normal;
         const open_question item = std::move(queue.front());
         queue.pop_front();
-        send(asker, item, urgent, now);
+        send(client, item, urgent, now);
     }
 }
 
-void advice_desk::send(const std::string& asker, const open_question& item, bool urgent, monotonic_time now)
+void advice_desk::send(const std::string& client, const open_question& item, bool urgent, monotonic_time now)
 {
-    m_askers[asker].busy = true;
+    m_clients[client].busy = true;
     ++m_busy;
     m_busy_normal += urgent ? 0 : 1;
-    m_ask(asker, item.question,
-          [this, asker, urgent, now, generation = m_generation,
+    m_ask(client, item.question,
+          [this, client, urgent, now, generation = m_generation,
            handler = item.handler](const advice_answer& answer)
           {
               if (generation != m_generation)
@@ -123,14 +124,14 @@
                   return;
               }
               const monotonic_time then = m_clock();
-              asker_state& state = m_askers[asker];
+              asker_state& state = m_clients[client];
               state.busy = false;
               --m_busy;
               m_busy_normal -= urgent ? 0 : 1;
-              state.avoid_until = answer.answered ? monotonic_time{} : then + pause_after_failure;
-              advice_answer timed = answer;
-              timed.took = then - now;
-              handler(timed);
+              state.backoff_until = answer.answered ? monotonic_time{} : then + pause_after_failure;
+              advice_answer timed_answer = answer;
+              timed_answer.took = then - now;
+              handler(timed_answer);
               send_next(then);
           });
 }
--- a/src/fabric/call_router.cpp
+++ b/src/fabric/call_router.cpp
@@ -11,8 +11,8 @@
 
 namespace
 {
-constexpr milliseconds look_every{50};    // resolution of deadlines and resends
-constexpr milliseconds repeat_after{450}; // replies usually take 30 ms; longer than the fsync of a slow disk
+constexpr milliseconds check_interval{50}; // resolution of deadlines and resends
+constexpr milliseconds repeat_after{450};  // replies usually take 30 ms; longer than the fsync of a slow disk
 
 // Only calls from callers are rejected during an outage. Operators and workers try other processes by
 // themselves, so their calls wait until the timeout.
@@ -24,8 +24,8 @@
 } // namespace
 
 call_router::call_router(boost::asio::io_context& loop, mesh& peers,
-                         std::function<bool(const service_call&, const call_handler&)> local)
-    : m_mesh(peers), m_local(std::move(local)), m_timer(loop), m_outage(monotonic_now())
+                         std::function<bool(const service_call&, const call_handler&)> local_handler)
+    : m_mesh(peers), m_local(std::move(local_handler)), m_timer(loop), m_outage(monotonic_now())
 {
 }
 
@@ -34,31 +34,31 @@
     *m_alive = false;
 }
 
-void call_router::call(service_call body, milliseconds patience, call_handler handler)
+void call_router::call(service_call body, milliseconds timeout, call_handler handler)
 {
     const monotonic_time now = monotonic_now();
     const bool of_caller = is_of_caller(body);
     if (of_caller && m_outage.hopeless(now))
     {
-        handler(refuse_without_leader(patience, now));
+        handler(refuse_without_leader(timeout, now));
         return;
     }
     const std::uint64_t number = m_next++;
     waiting_call& item = m_calls[number];
     item.body = std::move(body);
     item.handler = std::move(handler);
-    item.give_up = now + patience;
+    item.deadline = now + timeout;
     item.of_caller = of_caller;
     item.to_leader = true;
     arm();
     send(number, item, m_leader);
 }
 
-service_reply call_router::refuse_without_leader(milliseconds patience, monotonic_time now)
+service_reply call_router::refuse_without_leader(milliseconds timeout, monotonic_time now)
 {
     service_reply reply = make_reply(reply_kind::unavailable, "No leader is known; retry later.");
     const double draw = std::uniform_real_distribution<double>(0.0, 1.0)(m_random);
-    reply.number = static_cast<std::uint64_t>(m_outage.come_back_s(now, draw, patience));
+    reply.number = static_cast<std::uint64_t>(m_outage.choose_retry_after_s(now, draw, timeout));
     return reply;
 }
 
@@ -79,19 +79,19 @@
     }
     for (const std::uint64_t number : numbers)
     {
-        const auto left = std::chrono::duration_cast<milliseconds>(m_calls.at(number).give_up - now);
+        const auto left = std::chrono::duration_cast<milliseconds>(m_calls.at(number).deadline - now);
         finish(number, refuse_without_leader(left, now));
     }
 }
 
-void call_router::call_peer(const std::string& peer, service_call body, milliseconds patience,
+void call_router::call_peer(const std::string& peer, service_call body, milliseconds timeout,
                             call_handler handler)
 {
     const std::uint64_t number = m_next++;
     waiting_call& item = m_calls[number];
     item.body = std::move(body);
     item.handler = std::move(handler);
-    item.give_up = monotonic_now() + patience;
+    item.deadline = monotonic_now() + timeout;
     arm();
     send(number, item, peer);
 }
@@ -125,23 +125,23 @@
     m_mesh.send(to, call_note{number, item.encoded});
 }
 
-void call_router::take_reply(reply_note note)
+void call_router::take_reply(reply_note message)
 {
-    const auto found = m_calls.find(note.number);
+    const auto found = m_calls.find(message.number);
     if (found == m_calls.end())
     {
         return; // timed out meanwhile, or answered by an earlier leader
     }
-    if (found->second.to_leader && note.reply.what() == reply_kind::not_leading)
+    if (found->second.to_leader && message.reply.what() == reply_kind::not_leading)
     {
-        const std::string& hint = note.reply.leader;
-        if (!hint.empty() && hint == m_leader && monotonic_now() - found->second.sent > look_every)
+        const std::string& hint = message.reply.leader;
+        if (!hint.empty() && hint == m_leader && monotonic_now() - found->second.sent > check_interval)
         {
-            send(note.number, found->second, m_leader);
+            send(message.number, found->second, m_leader);
         }
         return; // sent again when the leader changes or after `resend_interval`
     }
-    finish(note.number, std::move(note.reply));
+    finish(message.number, std::move(message.reply));
 }
 
 void call_router::finish(std::uint64_t number, service_reply reply)
@@ -160,9 +160,10 @@
         return;
     }
     m_leader = leader;
-    if (const std::optional<duration> lasted = m_outage.note_leader(!leader.empty(), monotonic_now()))
+    if (const std::optional<duration> outage_duration =
+            m_outage.note_leader(!leader.empty(), monotonic_now()))
     {
-        m_outages.observe({}, *lasted);
+        m_outages.observe({}, *outage_duration);
     }
     std::vector<std::uint64_t> numbers;
     for (const auto& [number, item] : m_calls)
@@ -189,36 +190,36 @@
         return;
     }
     m_armed = true;
-    m_timer.expires_after(look_every);
+    m_timer.expires_after(check_interval);
     m_timer.async_wait(
         [this, alive = m_alive](boost::system::error_code cancelled)
         {
             if (*alive && !cancelled)
             {
                 m_armed = false;
-                look_at_all();
+                check_deadlines();
             }
         });
 }
 
-void call_router::look_at_all()
+void call_router::check_deadlines()
 {
     const monotonic_time now = monotonic_now();
     give_up_hopeless(now);
-    std::vector<std::uint64_t> over;
-    std::vector<std::uint64_t> again;
+    std::vector<std::uint64_t> expired;
+    std::vector<std::uint64_t> to_resend;
     for (const auto& [number, item] : m_calls)
     {
-        if (now >= item.give_up)
+        if (now >= item.deadline)
         {
-            over.push_back(number);
+            expired.push_back(number);
         }
         else if (item.to_leader && now - item.sent >= repeat_after)
         {
-            again.push_back(number);
+            to_resend.push_back(number);
         }
     }
-    for (const std::uint64_t number : again)
+    for (const std::uint64_t number : to_resend)
     {
         const auto found = m_calls.find(number);
         if (found != m_calls.end())
@@ -226,7 +227,7 @@
             send(number, found->second, m_leader);
         }
     }
-    for (const std::uint64_t number : over)
+    for (const std::uint64_t number : expired)
     {
         const auto found = m_calls.find(number);
         if (found != m_calls.end())
--- a/src/fabric/connection_pool.cpp
+++ b/src/fabric/connection_pool.cpp
@@ -5,8 +5,9 @@
 namespace walkthread
 {
 
-std::optional<pool_grant> connection_pool::want(pooled_call call, const std::string& address, call_need need,
-                                                monotonic_time give_up, monotonic_time now)
+std::optional<pool_grant> connection_pool::acquire(pooled_call call, const std::string& address,
+                                                   call_need priority, monotonic_time deadline,
+                                                   monotonic_time now)
 {
     address_state& state = m_addresses[address];
     if (!state.idle.empty())
@@ -18,12 +19,12 @@
     {
         return open_fresh(state, address, call);
     }
-    const turn place{need, m_next_turn++};
-    state.waiting.emplace(place, waiting_call{call, give_up, busy});
-    m_deadlines.emplace(give_up, place, address);
+    const queue_position position{priority, m_next_turn++};
+    state.waiting.emplace(position, waiting_call{call, deadline, busy});
+    m_deadlines.emplace(deadline, position, address);
     if (busy)
     {
-        m_patient.emplace(now + m_settings.busy_lasts, place, address);
+        m_patient.emplace(now + m_settings.busy_lasts, position, address);
     }
     take_place_in_line(state, address);
     return std::nullopt;
@@ -34,16 +35,16 @@
     std::vector<pool_grant> out;
     while (!m_patient.empty() && std::get<0>(*m_patient.begin()) <= now)
     {
-        const auto [when, place, address] = *m_patient.begin();
+        const auto [when, position, address] = *m_patient.begin();
         m_patient.erase(m_patient.begin());
         const auto at = m_addresses.find(address);
-        const bool waits = at != m_addresses.end() && at->second.waiting.contains(place);
+        const bool waits = at != m_addresses.end() && at->second.waiting.contains(position);
         if (!waits)
         {
             continue;
         }
         address_state& state = at->second;
-        state.waiting.at(place).waits_for_own = false;
+        state.waiting.at(position).waits_for_own = false;
         if (may_open(state))
         {
             const waiting_call next = take_first(state);
@@ -63,9 +64,10 @@
     }
     const std::string address = found->second.address;
     address_state& state = m_addresses[address];
-    const bool own = !state.waiting.empty();
-    const bool other = !m_short.empty() && (!own || m_short.begin()->first < state.waiting.begin()->first);
-    if (open && own && !other)
+    const bool same_address_waits = !state.waiting.empty();
+    const bool other =
+        !m_short.empty() && (!same_address_waits || m_short.begin()->first < state.waiting.begin()->first);
+    if (open && same_address_waits && !other)
     {
         const waiting_call next = take_first(state);
         take_place_in_line(state, address);
@@ -103,11 +105,11 @@
     std::vector<pooled_call> out;
     while (!m_deadlines.empty() && std::get<0>(*m_deadlines.begin()) <= now)
     {
-        const auto [when, place, address] = *m_deadlines.begin();
+        const auto [when, position, address] = *m_deadlines.begin();
         m_deadlines.erase(m_deadlines.begin());
         address_state& state = m_addresses[address];
-        out.push_back(state.waiting.at(place).call);
-        state.waiting.erase(place);
+        out.push_back(state.waiting.at(position).call);
+        state.waiting.erase(position);
         take_place_in_line(state, address);
         forget_if_unused(address);
     }
@@ -141,7 +143,7 @@
 pool_grant connection_pool::open_fresh(address_state& state, const std::string& address, pooled_call call)
 {
     pool_grant grant{call, pooled_id{m_next_connection++}, address, true, std::nullopt};
-    if (m_connections.size() >= m_settings.most)
+    if (m_connections.size() >= m_settings.max_connections)
     {
         grant.replaced = m_idle.front().id;
         const std::string other = m_connections.at(*grant.replaced).address;
@@ -158,15 +160,15 @@
 
 bool connection_pool::may_open(const address_state& state) const
 {
-    const bool room = m_connections.size() < m_settings.most || !m_idle.empty();
-    return room && state.open < m_settings.most_each;
+    const bool has_capacity = m_connections.size() < m_settings.max_connections || !m_idle.empty();
+    return has_capacity && state.open < m_settings.most_each;
 }
 
 connection_pool::waiting_call connection_pool::take_first(address_state& state)
 {
     const auto first = state.waiting.begin();
     const waiting_call out = first->second;
-    m_deadlines.erase(m_deadlines.lower_bound({out.give_up, first->first, {}}));
+    m_deadlines.erase(m_deadlines.lower_bound({out.deadline, first->first, {}}));
     state.waiting.erase(first);
     return out;
 }
--- a/src/fabric/core_calls.cpp
+++ b/src/fabric/core_calls.cpp
@@ -48,11 +48,11 @@
 {
     const auto refused = [&](workload_code code, std::string text)
     {
-        note("caller_refused", {},
-             {{"call", call},
-              {"queue", caller.queue == nullptr ? std::string{} : caller.queue->name},
-              {"code", static_cast<std::int32_t>(code)},
-              {"configuration", m_state.held_catalogue()->version}});
+        log_event("caller_refused", {},
+                  {{"call", call},
+                   {"queue", caller.queue == nullptr ? std::string{} : caller.queue->name},
+                   {"code", static_cast<std::int32_t>(code)},
+                   {"configuration", m_state.held_catalogue()->version}});
         return refuse(code, std::move(text));
     };
     switch (caller.verdict)
@@ -142,21 +142,21 @@
         return;
     }
     const std::string name = name_of(call.id);
-    note("submission_taken", name,
-         {{"queue", queue->name},
-          {"organisation", caller.organisation},
-          {"steps", call.spec.steps.size()},
-          {"tasks", call.spec.steps.front().count},
-          {"gang", call.spec.steps.front().gang},
-          {"lasting", call.spec.steps.front().lasting},
-          {"rounds", call.spec.rounds}});
+    log_event("submission_taken", name,
+              {{"queue", queue->name},
+               {"organisation", caller.organisation},
+               {"steps", call.spec.steps.size()},
+               {"tasks", call.spec.steps.front().count},
+               {"gang", call.spec.steps.front().gang},
+               {"lasting", call.spec.steps.front().lasting},
+               {"rounds", call.spec.rounds}});
     propose_and_reply(keep_submission{call.id, queue->name, call.spec, caller.organisation},
                       [this, alive = m_alive, name, handler](service_reply reply)
                       {
                           if (*alive && reply.what() != reply_kind::done)
                           {
-                              note("submission_not_kept", name,
-                                   {{"kind", reply.kind}, {"code", reply.code}, {"detail", reply.text}});
+                              log_event("submission_not_kept", name,
+                                        {{"kind", reply.kind}, {"code", reply.code}, {"detail", reply.text}});
                           }
                           handler(std::move(reply));
                       });
@@ -217,8 +217,8 @@
         handler(refuse(workload_code::unknown_submission, "There is no such submission."));
         return;
     }
-    note("submission_cancelling", name_of(call.id),
-         {{"queue", known->queue}, {"state", name_of(known->state())}, {"active", known->active}});
+    log_event("submission_cancelling", name_of(call.id),
+              {{"queue", known->queue}, {"state", name_of(known->state())}, {"active", known->active}});
     propose_and_reply(cancel_submission{call.id, known->queue}, handler);
 }
 
@@ -243,13 +243,13 @@
 {
     if (auto fault = find_fault(call.next))
     {
-        note("configuration_refused", {}, {{"version", call.next.version}, {"reason", *fault}});
+        log_event("configuration_refused", {}, {{"version", call.next.version}, {"reason", *fault}});
         handler(refuse(workload_code::bad_catalogue, *fault));
         return;
     }
     const std::uint64_t held = m_state.held_catalogue() ? m_state.held_catalogue()->version : 0;
-    note("configuration_taken", {},
-         {{"version", call.next.version}, {"held", held}, {"queues", call.next.queues.size()}});
+    log_event("configuration_taken", {},
+              {{"version", call.next.version}, {"held", held}, {"queues", call.next.queues.size()}});
     if (m_state.held_catalogue() && call.next.version <= held)
     {
         handler(make_reply(reply_kind::done));
@@ -272,11 +272,11 @@
 
 void core_node::handle(const begin_wave_call& call, const call_handler& handler)
 {
-    note("wave_taken", {},
-         {{"wave", call.wave.wave},
-          {"hosts", call.wave.hosts.size()},
-          {"at_once", call.wave.at_once},
-          {"within_s", call.wave.within_s}});
+    log_event("wave_taken", {},
+              {{"wave", call.wave.wave},
+               {"hosts", call.wave.hosts.size()},
+               {"at_once", call.wave.at_once},
+               {"within_s", call.wave.within_s}});
     propose_and_reply(call.wave, handler);
 }
 
@@ -330,11 +330,12 @@
     {
         return std::nullopt;
     }
-    const bool hears = now - m_replica->group().core().last_leader_contact() < m_times.leader_heard;
+    const bool has_leader_contact =
+        now - m_replica->group().core().last_leader_contact() < m_times.leader_heard;
     const worker_life* known = m_state.find_life(call->report.facts.life());
     const bool new_to_nobody = known != nullptr && !known->assumed && known->facts == call->report.facts &&
                                !call->report.draining && !known->leaving;
-    if (!hears || !new_to_nobody)
+    if (!has_leader_contact || !new_to_nobody)
     {
         return std::nullopt;
     }
@@ -351,8 +352,8 @@
     std::vector<std::string> others;
     for (const replica_id& voter : core.members().voters)
     {
-        const auto heard = core.last_heard(voter);
-        if (voter != core.self() && heard && now - *heard < m_times.leader_heard)
+        const auto last_contact = core.last_heard(voter);
+        if (voter != core.self() && last_contact && now - *last_contact < m_times.leader_heard)
         {
             others.push_back(peer_address_of(voter, detail::port_of(m_settings.report_address)));
         }
--- a/src/fabric/core_members.cpp
+++ b/src/fabric/core_members.cpp
@@ -33,7 +33,7 @@
     return out;
 }
 
-void core_node::take(const std::string& from, mesh_message message)
+void core_node::receive(const std::string& from, mesh_message message)
 {
     const monotonic_time now = monotonic_now();
     if (auto* encoded = std::get_if<replica_note>(&message))
@@ -45,11 +45,11 @@
                 replica_envelope{workload_group, encoded->from, encoded->to, std::move(value_of(body))});
         }
     }
-    else if (auto* question = std::get_if<leader_question>(&message))
+    else if (auto* query = std::get_if<leader_question>(&message))
     {
-        m_askers[from] = {now, question->can_advise};
+        m_leader_clients[from] = {now, query->can_advise};
         m_mesh.send(from, present_leader(now));
-        if (question->can_advise && m_dispatcher)
+        if (query->can_advise && m_dispatcher)
         {
             m_desk.note_asker(from, now);
         }
@@ -60,11 +60,11 @@
     }
     else if (auto* known = std::get_if<leader_note>(&message))
     {
-        m_watch.take(from, *known, now); // for the addresses of peers; the replica itself knows the leader
+        m_watch.receive(from, *known, now); // for the addresses of peers; the replica itself knows the leader
     }
     else
     {
-        fabric_node::take(from, std::move(message));
+        fabric_node::receive(from, std::move(message));
     }
 }
 
@@ -79,13 +79,13 @@
     {
         m_mesh.send(peer, leader_question{static_cast<bool>(m_outside.ask_advisor)});
     }
-    const bool hears_leader = core.leader().node.value() != 0;
-    if (!hears_leader && !m_watch.leader().empty())
+    const bool replica_knows_leader = core.leader().node.value() != 0;
+    if (!replica_knows_leader && !m_watch.leader().empty())
     {
         follow(m_watch.leader());
     }
     ask_to_join(now);
-    if (leads(now) && now - m_members_reviewed >= m_times.review_every)
+    if (leads(now) && now - m_members_reviewed >= m_times.member_review_interval)
     {
         m_members_reviewed = now;
         review_members(now);
@@ -104,28 +104,28 @@
     }
     for (const replica_id& member : all)
     {
-        const auto heard = core.last_heard(member);
+        const auto last_contact = core.last_heard(member);
         const auto lag = core.lag_of(member);
-        if (member == core.self() || !heard || !lag)
+        if (member == core.self() || !last_contact || !lag)
         {
             continue;
         }
-        const bool behind = now - *heard > m_times.member_behind || *lag > m_times.lag_reported;
+        const bool is_lagging = now - *last_contact > m_times.member_behind || *lag > m_times.lag_reported;
         const auto reported = m_behind.find(member);
-        if (behind && (reported == m_behind.end() || now - reported->second >= m_times.report_again))
+        if (is_lagging && (reported == m_behind.end() || now - reported->second >= m_times.report_again))
         {
             m_behind[member] = now;
-            note("replica_behind", {},
-                 {{"address", peer_address_of(member, detail::port_of(m_settings.peer_address))},
-                  {"silent_ms", now - *heard},
-                  {"entries", *lag},
-                  {"snapshot", core.log().base_index().value()},
-                  {"link_dropped", m_mesh.messages_dropped()}});
+            log_event("replica_behind", {},
+                      {{"address", peer_address_of(member, detail::port_of(m_settings.peer_address))},
+                       {"silent_ms", now - *last_contact},
+                       {"entries", *lag},
+                       {"snapshot", core.log().base_index().value()},
+                       {"link_dropped", m_mesh.messages_dropped()}});
         }
-        else if (!behind && m_behind.erase(member) > 0)
+        else if (!is_lagging && m_behind.erase(member) > 0)
         {
-            note("replica_caught_up", {},
-                 {{"address", peer_address_of(member, detail::port_of(m_settings.peer_address))}});
+            log_event("replica_caught_up", {},
+                      {{"address", peer_address_of(member, detail::port_of(m_settings.peer_address))}});
         }
     }
 }
@@ -135,8 +135,8 @@
     const replica& core = m_replica->group().core();
     for (const replica_id& voter : core.members().voters)
     {
-        const auto heard = core.last_heard(voter);
-        if (voter != core.self() && heard && now - *heard > m_times.voter_silent)
+        const auto last_contact = core.last_heard(voter);
+        if (voter != core.self() && last_contact && now - *last_contact > m_times.voter_silent)
         {
             return voter;
         }
@@ -148,29 +148,29 @@
 void core_node::promote_standby(monotonic_time now)
 {
     replica& core = m_replica->group().core();
-    const replica_id silent = silent_voter(now);
+    const replica_id unresponsive = silent_voter(now);
     const auto& learners = core.members().learners;
-    const bool under_way = std::any_of(learners.begin(), learners.end(),
-                                       [](const learner& item)
-                                       {
-                                           return item.promote;
-                                       });
-    if (silent.node.value() == 0 || under_way)
+    const bool promotion_pending = std::any_of(learners.begin(), learners.end(),
+                                               [](const learner& item)
+                                               {
+                                                   return item.promote;
+                                               });
+    if (unresponsive.node.value() == 0 || promotion_pending)
     {
         return;
     }
     for (const learner& item : learners)
     {
-        const auto heard = core.last_heard(item.id);
-        if (!heard || now - *heard > m_times.member_behind)
+        const auto last_contact = core.last_heard(item.id);
+        if (!last_contact || now - *last_contact > m_times.member_behind)
         {
             continue;
         }
-        const bool begun = ok(core.add_learner(learner{item.id, true, silent}, now));
-        note("standby_promoted", {},
-             {{"address", peer_address_of(item.id, detail::port_of(m_settings.peer_address))},
-              {"replaces", peer_address_of(silent, detail::port_of(m_settings.peer_address))},
-              {"begun", begun}});
+        const bool begun = ok(core.add_learner(learner{item.id, true, unresponsive}, now));
+        log_event("standby_promoted", {},
+                  {{"address", peer_address_of(item.id, detail::port_of(m_settings.peer_address))},
+                   {"replaces", peer_address_of(unresponsive, detail::port_of(m_settings.peer_address))},
+                   {"begun", begun}});
         m_replica->pump();
         return;
     }
@@ -183,8 +183,8 @@
     const replica& core = m_replica->group().core();
     const bool leader_in_contact =
         core.role() == replica_role::leader || now - core.last_leader_contact() < m_times.member_behind;
-    const bool served = core.members().is_member(core.self()) && leader_in_contact;
-    if (served || m_stopping || now - m_join_asked < m_times.join_every)
+    const bool is_active_member = core.members().is_member(core.self()) && leader_in_contact;
+    if (is_active_member || m_stopping || now - m_join_asked < m_times.join_every)
     {
         return;
     }
@@ -216,16 +216,16 @@
     {
         return;
     }
-    m_times.newcomers.wanted_voters = wanted_voters();
+    m_times.join_rules.wanted_voters = wanted_voters();
     const newcomer_decision decided =
-        judge_newcomer(core.members(), request.self, m_times.newcomers, make_newcomer_hooks(), now);
+        judge_newcomer(core.members(), request.self, m_times.join_rules, make_newcomer_hooks(), now);
     const std::string address = peer_address_of(request.self, detail::port_of(m_settings.peer_address));
     if (decided.live_replica)
     {
-        note("join_not_taken", {},
-             {{"address", address},
-              {"incarnation", request.self.incarnation.value()},
-              {"present", decided.live_replica->incarnation.value()}});
+        log_event("join_not_taken", {},
+                  {{"address", address},
+                   {"incarnation", request.self.incarnation.value()},
+                   {"present", decided.live_replica->incarnation.value()}});
     }
     if (decided.remove)
     {
@@ -235,11 +235,11 @@
     }
     if (decided.add && ok(core.add_learner(*decided.add, now)))
     {
-        note("replica_joins", {},
-             {{"address", address},
-              {"promote", decided.add->promote},
-              {"replaces", decided.add->replaces.incarnation.value()},
-              {"voters", core.members().voters.size()}});
+        log_event("replica_joins", {},
+                  {{"address", address},
+                   {"promote", decided.add->promote},
+                   {"replaces", decided.add->replaces.incarnation.value()},
+                   {"voters", core.members().voters.size()}});
         m_replica->pump();
     }
 }
@@ -248,11 +248,12 @@
 void core_node::forget_silent_newcomer(monotonic_time now)
 {
     replica& core = m_replica->group().core();
-    const auto lost = find_forgotten(core.members(), m_times.newcomers, make_newcomer_hooks(), now);
-    if (lost && ok(core.remove_member(*lost, now)))
+    const auto expired_learner =
+        find_forgotten(core.members(), m_times.join_rules, make_newcomer_hooks(), now);
+    if (expired_learner && ok(core.remove_member(*expired_learner, now)))
     {
-        note("newcomer_forgotten", {},
-             {{"address", peer_address_of(*lost, detail::port_of(m_settings.peer_address))}});
+        log_event("newcomer_forgotten", {},
+                  {{"address", peer_address_of(*expired_learner, detail::port_of(m_settings.peer_address))}});
         m_replica->pump();
     }
 }
--- a/src/fabric/core_node.cpp
+++ b/src/fabric/core_node.cpp
@@ -34,16 +34,17 @@
     return detail::ip_text(static_cast<std::uint32_t>(detail::ip_part(replica))) + ':' + std::to_string(port);
 }
 
-core_node::core_node(boost::asio::io_context& loop, fabric_settings settings, core_node_settings times,
-                     outside_hooks outside, decision_log& log, std::function<void(const storage_error&)> stop)
-    : fabric_node(loop, std::move(settings), std::move(outside), log), m_times(times),
+core_node::core_node(boost::asio::io_context& loop, fabric_settings settings,
+                     core_node_settings core_settings, outside_hooks hooks, decision_log& log,
+                     std::function<void(const storage_error&)> stop)
+    : fabric_node(loop, std::move(settings), std::move(hooks), log), m_times(core_settings),
       m_stop(std::move(stop)),
       m_desk(
-          [this](const std::string& asker, const advice_question& question,
+          [this](const std::string& client, const advice_question& question,
                  const advice_desk::answer_handler& handler)
           {
-              constexpr milliseconds patience{2500}; // the slowest query takes about 1 s
-              m_router.call_peer(asker, advise_call{question}, patience,
+              constexpr milliseconds timeout{2500}; // the slowest query takes about 1 s
+              m_router.call_peer(client, advise_call{question}, timeout,
                                  [handler](const service_reply& reply)
                                  {
                                      handler(reply.advice);
@@ -70,10 +71,10 @@
         m_settings.founding && std::find(seeds.begin(), seeds.end(), m_settings.peer_address) != seeds.end();
     std::random_device entropy;
     const std::uint64_t life = founder ? founding_life : (entropy() | 2U);
-    folder_identity fresh;
+    folder_identity new_identity;
     const replica_id self = make_replica_id(ip, life);
-    fresh.node = self.node;
-    fresh.incarnation = self.incarnation;
+    new_identity.node = self.node;
+    new_identity.incarnation = self.incarnation;
     if (founder)
     {
         membership founders;
@@ -82,9 +83,9 @@
             founders.voters.push_back(make_replica_id(detail::ip_of(seed), founding_life));
         }
         std::sort(founders.voters.begin(), founders.voters.end());
-        fresh.founding[workload_group] = founders;
+        new_identity.founding[workload_group] = founders;
     }
-    auto folder = data_folder::open(m_settings.data_folder, fresh);
+    auto folder = data_folder::open(m_settings.data_folder, new_identity);
     if (!ok(folder))
     {
         return "Cannot open the data folder: error " + std::to_string(error_of(folder).number()) + ": " +
@@ -125,40 +126,40 @@
         m_state.load(start.base.data);
     }
     const replica_id self{folder->identity().node, folder->identity().incarnation};
-    note("replica_opened", {},
-         {{"incarnation", self.incarnation.value()},
-          {"term", start.state.term.value()},
-          {"snapshot", start.base.index.value()},
-          {"entries", start.entries.size()},
-          {"voters", start.base.members.voters.size()}});
+    log_event("replica_opened", {},
+              {{"incarnation", self.incarnation.value()},
+               {"term", start.state.term.value()},
+               {"snapshot", start.base.index.value()},
+               {"entries", start.entries.size()},
+               {"voters", start.base.members.voters.size()}});
     replica core(workload_group, self, m_times.replication, std::move(start), self.incarnation.value(),
                  monotonic_now());
     auto group = std::make_unique<replicated_group>(workload_group, std::move(core), std::move(hooks));
-    replica_host_hooks outward;
-    outward.send = [this](const replica_envelope& envelope)
+    replica_host_hooks replica_hooks;
+    replica_hooks.send = [this](const replica_envelope& envelope)
     {
         const std::string to = peer_address_of(envelope.to, detail::port_of(m_settings.peer_address));
         m_mesh.send(to, replica_note{envelope.from, envelope.to, encode(envelope.message)});
     };
-    outward.changed = [this]
+    replica_hooks.changed = [this]
     {
         changed();
     };
-    outward.disk_failed = [this](const storage_error& error)
+    replica_hooks.disk_failed = [this](const storage_error& error)
     {
-        note("disk_failed", {}, {{"error", error.number()}, {"detail", error.detail}});
+        log_event("disk_failed", {}, {{"error", error.number()}, {"detail", error.detail}});
         m_stop(error);
     };
-    outward.disk_refuses = [this](const storage_error& error)
+    replica_hooks.disk_refuses = [this](const storage_error& error)
     {
         take_refusal(error);
     };
-    outward.disk_accepts = [this]
+    replica_hooks.disk_accepts = [this]
     {
         take_acceptance();
     };
     m_replica = std::make_unique<replica_host>(m_loop, std::move(folder), std::move(group),
-                                               std::move(outward), m_times.tick);
+                                               std::move(replica_hooks), m_times.tick);
 }
 
 // ---------------------------------------------------------------------------------------------------------
@@ -223,14 +224,14 @@
 void core_node::begin_leading(monotonic_time now)
 {
     m_led_term = m_replica->group().core().term().value();
-    note("leading", {},
-         {{"term", m_led_term},
-          {"workers", m_state.workers().size()},
-          {"submissions", m_state.submissions().size()}});
+    log_event("leading", {},
+              {{"term", m_led_term},
+               {"workers", m_state.workers().size()},
+               {"submissions", m_state.submissions().size()}});
     m_dispatcher =
         std::make_unique<dispatcher>(m_state, m_times.dispatch, make_hooks(), m_log, m_led_term, now);
     // Otherwise the first advisor queries would wait for the next leader query of each client.
-    for (const auto& [address, known] : m_askers)
+    for (const auto& [address, known] : m_leader_clients)
     {
         if (known.can_advise)
         {
@@ -243,12 +244,12 @@
 // Notifies processes with a recent leader query, so that they need not discover the change.
 void core_node::tell_leadership(monotonic_time now)
 {
-    const leader_note news = present_leader(now);
-    for (const auto& [address, known] : m_askers)
+    const leader_note status = present_leader(now);
+    for (const auto& [address, known] : m_leader_clients)
     {
         if (now - known.asked < m_times.asker_known)
         {
-            m_mesh.send(address, news);
+            m_mesh.send(address, status);
         }
     }
 }
@@ -257,7 +258,7 @@
 {
     if (m_dispatcher)
     {
-        note("leading_no_more", {}, {{"term", m_led_term}, {"reason", reason}});
+        log_event("leading_no_more", {}, {{"term", m_led_term}, {"reason", reason}});
         m_dispatcher.reset();
         m_desk.clear();
     }
@@ -274,8 +275,8 @@
     }
     replica& core = m_replica->group().core();
     const bool leads_now = core.role() == replica_role::leader;
-    note("disk_refuses", {},
-         {{"error", error.number()}, {"detail", error.detail}, {"hands_over", leads_now}});
+    log_event("disk_refuses", {},
+              {{"error", error.number()}, {"detail", error.detail}, {"hands_over", leads_now}});
     core.decline_leadership(true);
     boost::asio::post(m_loop,
                       [this, alive = m_alive]
@@ -291,13 +292,13 @@
 void core_node::take_acceptance()
 {
     m_disk_refuses = false;
-    note("disk_accepts", {}, {});
+    log_event("disk_accepts", {}, {});
     m_replica->group().core().decline_leadership(m_stopping);
 }
 
 dispatch_hooks core_node::make_hooks()
 {
-    const auto no_look = look_answer{order_outcome::not_sent, {}, 0, {}, {}};
+    const auto no_poll = look_answer{order_outcome::not_sent, {}, 0, {}, {}};
     const auto no_order = order_answer{order_outcome::not_sent, std::nullopt, false};
     dispatch_hooks hooks;
     hooks.now = monotonic_now;
@@ -311,9 +312,9 @@
     };
     // After a pause this process may have lost leadership, so each order checks it first.
     hooks.look =
-        [this, no_look](const look_order& order, const std::function<void(const look_answer&)>& handler)
+        [this, no_poll](const look_order& order, const std::function<void(const look_answer&)>& handler)
     {
-        leads(monotonic_now()) ? m_outside.look(order, handler) : handler(no_look);
+        leads(monotonic_now()) ? m_outside.look(order, handler) : handler(no_poll);
     };
     hooks.start = [this, no_order](const start_task_order& order,
                                    const std::function<void(const order_answer&)>& handler)
@@ -339,7 +340,7 @@
                           const std::function<void(const advice_answer&)>& handler)
     {
         const monotonic_time asked = monotonic_now();
-        m_desk.put(
+        m_desk.enqueue(
             question, urgent,
             [this, asked, handler](const advice_answer& answer)
             {
--- a/src/fabric/descriptor_budget.cpp
+++ b/src/fabric/descriptor_budget.cpp
@@ -25,16 +25,16 @@
 constexpr std::size_t callers_of_replica = 25;
 constexpr std::size_t looks_of_replica = 30;
 constexpr std::size_t peers_of_edge = 20;
-constexpr std::size_t hundred = 100;
+constexpr std::size_t percent_base = 100;
 
 // A higher limit gives no benefit; the cap also keeps the shares readable in logs.
-constexpr std::size_t most_used = 100'000;
+constexpr std::size_t max_divided = 100'000;
 } // namespace
 
 descriptor_needs needs_of(const descriptor_uses& uses)
 {
     const std::size_t smallest = uses.replica ? peers_of_replica : peers_of_edge;
-    return {kept_for_files + (least_part * hundred + smallest - 1) / smallest,
+    return {kept_for_files + (least_part * percent_base + smallest - 1) / smallest,
             uses.replica ? usual_replica : usual_edge};
 }
 
@@ -48,17 +48,17 @@
     }
     descriptor_budget out;
     out.files = kept_for_files;
-    const std::size_t left = std::min(limit, most_used) - out.files;
+    const std::size_t left = std::min(limit, max_divided) - out.files;
     if (!uses.replica)
     {
-        out.peers = left * peers_of_edge / hundred;
+        out.peers = left * peers_of_edge / percent_base;
         out.callers = left - out.peers;
         return out;
     }
-    out.peers = left * peers_of_replica / hundred;
-    out.callers = left * callers_of_replica / hundred;
-    out.looks = left * looks_of_replica / hundred;
-    out.orders = left - out.peers - out.callers - out.looks;
+    out.peers = left * peers_of_replica / percent_base;
+    out.callers = left * callers_of_replica / percent_base;
+    out.polls = left * looks_of_replica / percent_base;
+    out.orders = left - out.peers - out.callers - out.polls;
     return out;
 }
 
--- a/src/fabric/fabric_node.cpp
+++ b/src/fabric/fabric_node.cpp
@@ -8,22 +8,22 @@
 
 namespace
 {
-constexpr milliseconds watch_tick{150};      // the shortest query interval in `leader_watch_settings`
+constexpr milliseconds tick_interval{150};   // the shortest query interval in `leader_watch_settings`
 constexpr milliseconds least_suspension{50}; // shorter ones affect no lease or timeout
 } // namespace
 
-fabric_node::fabric_node(boost::asio::io_context& loop, fabric_settings settings, outside_hooks outside,
+fabric_node::fabric_node(boost::asio::io_context& loop, fabric_settings settings, outside_hooks hooks,
                          decision_log& log)
-    : m_loop(loop), m_settings(std::move(settings)), m_outside(std::move(outside)), m_log(log),
+    : m_loop(loop), m_settings(std::move(settings)), m_outside(std::move(hooks)), m_log(log),
       m_mesh(
           loop, peer_greeting{m_settings.peer_address, m_settings.name, !m_settings.data_folder.empty()},
           [this](const std::string& from, mesh_message message)
           {
-              take(from, std::move(message));
+              receive(from, std::move(message));
           },
           [this](const std::string& to, bool up, const std::string& reason)
           {
-              note(up ? "peer_connected" : "peer_lost", {}, {{"peer", to}, {"reason", reason}});
+              log_event(up ? "peer_connected" : "peer_lost", {}, {{"peer", to}, {"reason", reason}});
           },
           m_settings.most_links),
       m_router(loop, m_mesh,
@@ -50,20 +50,20 @@
     return failed;
 }
 
-void fabric_node::note(std::string_view event, std::string_view subject,
-                       std::initializer_list<log_field> fields)
+void fabric_node::log_event(std::string_view event, std::string_view subject,
+                            std::initializer_list<log_field> fields)
 {
     m_log.write(monotonic_now(), wall_now(), event, subject, fields);
 }
 
-void fabric_node::call(service_call body, milliseconds patience, call_handler handler)
+void fabric_node::call(service_call body, milliseconds timeout, call_handler handler)
 {
     if (auto reply = answer_at_once(body, monotonic_now()))
     {
         handler(std::move(*reply));
         return;
     }
-    m_router.call(std::move(body), patience, std::move(handler));
+    m_router.call(std::move(body), timeout, std::move(handler));
 }
 
 bool fabric_node::connected() const
@@ -102,7 +102,7 @@
     const duration so_far = suspended_so_far();
     if (so_far - m_suspended > least_suspension)
     {
-        note("machine_suspended", {}, {{"for_ms", so_far - m_suspended}});
+        log_event("machine_suspended", {}, {{"for_ms", so_far - m_suspended}});
     }
     m_suspended = so_far;
 }
@@ -111,7 +111,7 @@
 {
     note_suspension();
     ask_around(monotonic_now());
-    m_timer.expires_after(watch_tick);
+    m_timer.expires_after(tick_interval);
     m_timer.async_wait(
         [this, alive = m_alive](boost::system::error_code cancelled)
         {
@@ -135,25 +135,26 @@
 {
     m_router.set_leader(leader);
     const std::uint64_t term = known_term();
-    if (leader == m_followed && (leader.empty() || term == m_followed_term))
+    if (leader == m_logged_leader && (leader.empty() || term == m_followed_term))
     {
         return;
     }
-    const std::string_view event = leader.empty()       ? "leader_lost"
-                                   : m_followed.empty() ? "leader_found"
-                                                        : "leader_changed";
-    note(event, {},
-         {{"leader", leader}, {"before", m_followed}, {"term", term}, {"term_before", m_followed_term}});
-    m_followed = leader;
+    const std::string_view event = leader.empty()            ? "leader_lost"
+                                   : m_logged_leader.empty() ? "leader_found"
+                                                             : "leader_changed";
+    log_event(
+        event, {},
+        {{"leader", leader}, {"before", m_logged_leader}, {"term", term}, {"term_before", m_followed_term}});
+    m_logged_leader = leader;
     m_followed_term = term;
     m_leader_changes += leader.empty() ? 0 : 1;
 }
 
-void fabric_node::take(const std::string& from, mesh_message message)
+void fabric_node::receive(const std::string& from, mesh_message message)
 {
     if (auto* status = std::get_if<leader_note>(&message))
     {
-        m_watch.take(from, *status, monotonic_now());
+        m_watch.receive(from, *status, monotonic_now());
         ask_around(monotonic_now());
     }
     else if (auto* reply = std::get_if<reply_note>(&message))
--- a/src/fabric/leader_outage.cpp
+++ b/src/fabric/leader_outage.cpp
@@ -7,7 +7,7 @@
 {
 
 leader_outage::leader_outage(monotonic_time now, leader_outage_settings settings)
-    : m_settings(settings), m_since(now)
+    : m_settings(settings), m_outage_start(now)
 {
 }
 
@@ -15,30 +15,31 @@
 {
     if (!known)
     {
-        m_since = m_since.value_or(now);
+        m_outage_start = m_outage_start.value_or(now);
         return std::nullopt;
     }
-    const std::optional<duration> lasted = m_since ? std::optional<duration>(now - *m_since) : std::nullopt;
-    m_since.reset();
-    return lasted;
+    const std::optional<duration> outage_duration =
+        m_outage_start ? std::optional<duration>(now - *m_outage_start) : std::nullopt;
+    m_outage_start.reset();
+    return outage_duration;
 }
 
 duration leader_outage::age(monotonic_time now) const
 {
-    return m_since ? now - *m_since : duration{0};
+    return m_outage_start ? now - *m_outage_start : duration{0};
 }
 
 bool leader_outage::hopeless(monotonic_time now) const
 {
-    return m_since && age(now) >= m_settings.hold_for;
+    return m_outage_start && age(now) >= m_settings.hold_for;
 }
 
-std::int64_t leader_outage::come_back_s(monotonic_time now, double draw, milliseconds patience) const
+std::int64_t leader_outage::choose_retry_after_s(monotonic_time now, double draw, milliseconds timeout) const
 {
     const double age_s = std::chrono::duration<double>(age(now)).count();
-    const double patience_s = std::chrono::duration<double>(patience).count();
+    const double timeout_s = std::chrono::duration<double>(timeout).count();
     const auto longest = std::min({static_cast<std::int64_t>(std::ceil(age_s)),
-                                   static_cast<std::int64_t>(patience_s), m_settings.longest_come_back_s});
+                                   static_cast<std::int64_t>(timeout_s), m_settings.longest_come_back_s});
     const double spread = draw * static_cast<double>(std::max<std::int64_t>(longest, 1));
     return std::clamp<std::int64_t>(1 + static_cast<std::int64_t>(spread), 1,
                                     std::max<std::int64_t>(longest, 1));
--- a/src/fabric/leader_watch.cpp
+++ b/src/fabric/leader_watch.cpp
@@ -4,39 +4,39 @@
 {
 
 leader_watch::leader_watch(std::vector<std::string> seeds, leader_watch_settings settings)
-    : m_settings(settings), m_known(seeds.begin(), seeds.end())
+    : m_settings(settings), m_known_peers(seeds.begin(), seeds.end())
 {
 }
 
 void leader_watch::add_seeds(const std::vector<std::string>& seeds)
 {
-    m_known.insert(seeds.begin(), seeds.end());
+    m_known_peers.insert(seeds.begin(), seeds.end());
 }
 
-void leader_watch::take(const std::string& from, const leader_note& note, monotonic_time now)
+void leader_watch::receive(const std::string& from, const leader_note& leader_report, monotonic_time now)
 {
-    m_known.insert(note.replicas.begin(), note.replicas.end());
-    if (note.leads && note.term >= m_term)
+    m_known_peers.insert(leader_report.replicas.begin(), leader_report.replicas.end());
+    if (leader_report.leads && leader_report.term >= m_term)
     {
         if (m_leader != from)
         {
-            m_asked = {}; // query it at once, so that it knows this process
+            m_last_query = {}; // query it at once, so that it knows this process
         }
         m_leader = from;
-        m_term = note.term;
-        m_heard = now;
+        m_term = leader_report.term;
+        m_last_leader_contact = now;
         return;
     }
-    if (!note.leader.empty() && note.leader != m_leader && note.term > m_term)
+    if (!leader_report.leader.empty() && leader_report.leader != m_leader && leader_report.term > m_term)
     {
         // A peer knows a newer leader. Calls go there at once; the leader's own status confirms it later.
-        m_leader = note.leader;
-        m_term = note.term;
-        m_heard = now;
-        m_known.insert(note.leader);
+        m_leader = leader_report.leader;
+        m_term = leader_report.term;
+        m_last_leader_contact = now;
+        m_known_peers.insert(leader_report.leader);
         return;
     }
-    if (from == m_leader && !note.leads && note.term >= m_term)
+    if (from == m_leader && !leader_report.leads && leader_report.term >= m_term)
     {
         m_leader.clear();
     }
@@ -44,23 +44,23 @@
 
 std::vector<std::string> leader_watch::whom_to_ask(monotonic_time now)
 {
-    if (!m_leader.empty() && now - m_heard > m_settings.leader_silent)
+    if (!m_leader.empty() && now - m_last_leader_contact > m_settings.leader_silent)
     {
         m_leader.clear();
     }
     const milliseconds pause = m_leader.empty() ? m_settings.ask_unknown : m_settings.ask_every;
-    if (now - m_asked < pause)
+    if (now - m_last_query < pause)
     {
         return {};
     }
-    m_asked = now;
+    m_last_query = now;
     if (m_leader.empty())
     {
-        return {m_known.begin(), m_known.end()};
+        return {m_known_peers.begin(), m_known_peers.end()};
     }
     // Also query one other peer in turn, so that each knows which processes to notify when it becomes leader.
-    auto other = m_known.upper_bound(m_last_other);
-    other = other == m_known.end() ? m_known.begin() : other;
+    auto other = m_known_peers.upper_bound(m_last_other);
+    other = other == m_known_peers.end() ? m_known_peers.begin() : other;
     m_last_other = *other;
     return *other == m_leader ? std::vector<std::string>{m_leader}
                               : std::vector<std::string>{m_leader, *other};
--- a/src/fabric/mesh.cpp
+++ b/src/fabric/mesh.cpp
@@ -28,8 +28,8 @@
 
 void mesh::core::accept_later()
 {
-    pause.expires_after(detail::accept_pause);
-    pause.async_wait(
+    accept_timer.expires_after(detail::accept_pause);
+    accept_timer.async_wait(
         [self = shared_from_this()](error_code cancelled)
         {
             if (!cancelled && !self->closed)
@@ -49,7 +49,7 @@
     const auto oldest = std::min_element(links.begin(), links.end(),
                                          [](const auto& a, const auto& b)
                                          {
-                                             return a.second->used < b.second->used;
+                                             return a.second->last_used < b.second->last_used;
                                          });
     if (oldest != links.end())
     {
@@ -68,7 +68,7 @@
     const auto oldest = std::min_element(received.begin(), received.end(),
                                          [](const incoming* a, const incoming* b)
                                          {
-                                             return a->heard < b->heard;
+                                             return a->last_received < b->last_received;
                                          });
     if (oldest != received.end())
     {
@@ -77,9 +77,10 @@
     }
 }
 
-mesh::mesh(asio::io_context& loop, peer_greeting self, handler taker, link_handler on_link,
+mesh::mesh(asio::io_context& loop, peer_greeting self, handler message_handler, link_handler on_link,
            std::size_t most_links)
-    : m_core(std::make_shared<core>(loop, std::move(self), std::move(taker), std::move(on_link), most_links))
+    : m_core(std::make_shared<core>(loop, std::move(self), std::move(message_handler), std::move(on_link),
+                                    most_links))
 {
 }
 
@@ -88,7 +89,7 @@
     m_core->closed = true;
     error_code ignored; // the acceptor may never have been opened
     m_core->acceptor.close(ignored);
-    m_core->pause.cancel();
+    m_core->accept_timer.cancel();
     for (auto& [to, link] : m_core->links)
     {
         link->close();
--- a/src/fabric/mesh_core.hpp
+++ b/src/fabric/mesh_core.hpp
@@ -33,7 +33,7 @@
 using tcp = asio::ip::tcp;
 using boost::system::error_code;
 
-inline constexpr milliseconds connect_patience{
+inline constexpr milliseconds connect_timeout{
     600}; // allows for one lost packet inside a region; shorter than an election
 inline constexpr milliseconds connect_pause{200}; // after a failed or lost connection
 inline constexpr int user_timeout_ms = 1200;      // TCP closes a link with bytes unacknowledged for this long
@@ -66,9 +66,9 @@
     struct outgoing;
     struct incoming;
 
-    core(asio::io_context& io, peer_greeting greeting, handler to, link_handler link, std::size_t most)
-        : loop(io), acceptor(io), pause(io), self(std::move(greeting)), taker(std::move(to)),
-          on_link(std::move(link)), most_links(most)
+    core(asio::io_context& io, peer_greeting greeting, handler to, link_handler link, std::size_t link_limit)
+        : loop(io), acceptor(io), accept_timer(io), self(std::move(greeting)), message_handler(std::move(to)),
+          on_link(std::move(link)), most_links(link_limit)
     {
     }
 
@@ -79,9 +79,9 @@
 
     asio::io_context& loop;
     tcp::acceptor acceptor;
-    asio::steady_timer pause;
+    asio::steady_timer accept_timer;
     peer_greeting self;
-    handler taker;
+    handler message_handler;
     link_handler on_link;
     std::size_t most_links;
     std::map<std::string, std::shared_ptr<outgoing>> links;
@@ -102,10 +102,10 @@
     void send(std::string frame)
     {
         const auto now = monotonic_now();
-        used = now;
-        if (connected && unanswered && now - *unanswered > answer_patience)
+        last_used = now;
+        if (connected && unacknowledged_since && now - *unacknowledged_since > answer_patience)
         {
-            lose(asio::error::make_error_code(asio::error::timed_out));
+            disconnect(asio::error::make_error_code(asio::error::timed_out));
         }
         if (!queue.empty() && queued + frame.size() > most_queued_bytes)
         {
@@ -133,7 +133,7 @@
         }
         connecting = true;
         socket = tcp::socket(owner->loop);
-        timer.expires_after(connect_patience);
+        timer.expires_after(connect_timeout);
         timer.async_wait(
             [self = shared_from_this()](error_code cancelled)
             {
@@ -150,7 +150,7 @@
                                  self->connecting = false;
                                  if (failed || self->closed)
                                  {
-                                     self->lose(failed);
+                                     self->disconnect(failed);
                                      return;
                                  }
                                  self->start();
@@ -162,40 +162,40 @@
         connected = true;
         owner->on_link(to, true, {});
         prepare(socket);
-        std::string hello = make_frame(encode(mesh_message{owner->self}));
-        queued += hello.size();
-        queue.push_front(std::move(hello));
-        watch();
+        std::string greeting_frame = make_frame(encode(mesh_message{owner->self}));
+        queued += greeting_frame.size();
+        queue.push_front(std::move(greeting_frame));
+        read_acks();
         write();
     }
 
     // The peer sends nothing but acknowledgements on this connection.
-    void watch()
+    void read_acks()
     {
-        socket.async_read_some(
-            asio::buffer(scrap),
-            [self = shared_from_this(), life = life](error_code failed, std::size_t /*bytes*/)
-            {
-                if (life != self->life)
-                {
-                    return;
-                }
-                if (failed)
-                {
-                    self->lose(failed);
-                    return;
-                }
-                self->unanswered.reset();
-                self->watch();
-            });
+        socket.async_read_some(asio::buffer(scrap),
+                               [self = shared_from_this(), connection_generation = connection_generation](
+                                   error_code failed, std::size_t /*bytes*/)
+                               {
+                                   if (connection_generation != self->connection_generation)
+                                   {
+                                       return;
+                                   }
+                                   if (failed)
+                                   {
+                                       self->disconnect(failed);
+                                       return;
+                                   }
+                                   self->unacknowledged_since.reset();
+                                   self->read_acks();
+                               });
     }
 
     void write()
     {
         writing = true;
-        if (!unanswered)
+        if (!unacknowledged_since)
         {
-            unanswered = monotonic_now();
+            unacknowledged_since = monotonic_now();
         }
         batch.clear();
         while (!queue.empty())
@@ -205,17 +205,18 @@
         }
         queued = 0;
         asio::async_write(socket, asio::buffer(batch),
-                          [self = shared_from_this(), life = life](error_code failed, std::size_t bytes)
+                          [self = shared_from_this(), connection_generation = connection_generation](
+                              error_code failed, std::size_t bytes)
                           {
                               self->owner->sent += bytes;
-                              if (life != self->life)
+                              if (connection_generation != self->connection_generation)
                               {
                                   return;
                               }
                               self->writing = false;
                               if (failed)
                               {
-                                  self->lose(failed);
+                                  self->disconnect(failed);
                               }
                               else if (!self->queue.empty())
                               {
@@ -225,16 +226,16 @@
     }
 
     // Drops the queue: its messages would be stale on a new connection, and senders repeat what matters.
-    void lose(error_code why)
+    void disconnect(error_code why)
     {
-        ++life;
+        ++connection_generation;
         if (connected && !owner->closed)
         {
             owner->on_link(to, false, why.message());
         }
         connected = false;
         writing = false;
-        unanswered.reset();
+        unacknowledged_since.reset();
         owner->dropped += queue.size();
         queue.clear();
         queued = 0;
@@ -273,9 +274,10 @@
     std::size_t queued = 0;
     std::string batch;
     std::array<char, 16> scrap{};
-    std::optional<monotonic_time> unanswered; ///< time of the first write since the last acknowledgement
-    monotonic_time used;                      ///< when a message was last queued
-    std::uint64_t life = 0;
+    std::optional<monotonic_time>
+        unacknowledged_since; ///< time of the first write since the last acknowledgement
+    monotonic_time last_used; ///< when a message was last queued
+    std::uint64_t connection_generation = 0;
     bool connected = false;
     bool connecting = false;
     bool writing = false;
@@ -312,7 +314,7 @@
         idle.async_wait(
             [self = shared_from_this()](error_code cancelled)
             {
-                const bool silent = monotonic_now() - self->heard >= incoming_idle;
+                const bool silent = monotonic_now() - self->last_received >= incoming_idle;
                 if (cancelled || !self->socket.is_open())
                 {
                     return;
@@ -330,16 +332,16 @@
     // Acknowledges received data. In a one-way partition the sender cannot rely on TCP to detect a dead link.
     void answer_soon()
     {
-        if (answering)
+        if (ack_pending)
         {
             return;
         }
-        answering = true;
+        ack_pending = true;
         timer.expires_after(answer_after);
         timer.async_wait(
             [self = shared_from_this()](error_code cancelled)
             {
-                self->answering = false;
+                self->ack_pending = false;
                 if (!cancelled && !self->owner->closed && self->socket.is_open())
                 {
                     asio::async_write(self->socket, asio::buffer(&answer_byte, 1),
@@ -355,7 +357,7 @@
         socket.async_read_some(asio::buffer(buffer),
                                [self = shared_from_this()](error_code failed, std::size_t bytes)
                                {
-                                   if (!failed && self->take({self->buffer.data(), bytes}))
+                                   if (!failed && self->receive({self->buffer.data(), bytes}))
                                    {
                                        self->read();
                                        return;
@@ -366,9 +368,9 @@
                                });
     }
 
-    bool take(std::string_view bytes)
+    bool receive(std::string_view bytes)
     {
-        heard = monotonic_now();
+        last_received = monotonic_now();
         answer_soon();
         reader.feed(bytes);
         for (;;)
@@ -395,7 +397,7 @@
             {
                 return false;
             }
-            owner->taker(from, std::move(value_of(message)));
+            owner->message_handler(from, std::move(value_of(message)));
         }
     }
 
@@ -404,10 +406,10 @@
     std::string buffer;
     asio::steady_timer timer;
     asio::steady_timer idle;
-    monotonic_time heard = monotonic_now();
+    monotonic_time last_received = monotonic_now();
     frame_reader reader;
     std::string from;
-    bool answering = false;
+    bool ack_pending = false;
 };
 
 } // namespace walkthread
--- a/src/fabric/pooled_client.cpp
+++ b/src/fabric/pooled_client.cpp
@@ -9,7 +9,7 @@
 
 namespace
 {
-constexpr milliseconds look_every{25}; // resolution of deadlines
+constexpr milliseconds check_interval{25}; // resolution of deadlines
 constexpr duration prune_every = seconds(5);
 } // namespace
 
@@ -24,13 +24,13 @@
     *m_alive = false;
 }
 
-void pooled_client::send(const std::string& address, web_request request, call_need need,
-                         milliseconds patience, web_answer_handler handler)
+void pooled_client::send(const std::string& address, web_request request, call_need priority,
+                         milliseconds timeout, web_answer_handler handler)
 {
     const monotonic_time now = monotonic_now();
     const pooled_call call{m_next_call++};
-    m_waiting.emplace(call, open_call{std::move(request), patience, std::move(handler)});
-    if (const auto grant = m_pool.want(call, address, need, now + patience, now))
+    m_waiting.emplace(call, open_call{std::move(request), timeout, std::move(handler)});
+    if (const auto grant = m_pool.acquire(call, address, priority, now + timeout, now))
     {
         begin(*grant);
     }
@@ -38,9 +38,9 @@
     {
         arm();
     }
-    if (now - m_pruned >= prune_every)
+    if (now - m_last_prune >= prune_every)
     {
-        m_pruned = now;
+        m_last_prune = now;
         for (const pooled_id connection : m_pool.close_idle(now))
         {
             close(connection);
@@ -55,7 +55,7 @@
         ++m_replaced;
         close(*grant.replaced);
     }
-    if (grant.fresh)
+    if (grant.is_new)
     {
         ++m_opened;
         m_channels[grant.connection] = web_channel::make(m_loop, grant.address);
@@ -63,7 +63,7 @@
     auto node = m_waiting.extract(grant.call);
     open_call& call = node.mapped();
     m_channels.at(grant.connection)
-        ->send(std::move(call.request), call.patience,
+        ->send(std::move(call.request), call.timeout,
                [this, alive = m_alive, connection = grant.connection,
                 handler = std::move(call.handler)](const web_result& outcome)
                {
@@ -114,7 +114,7 @@
         return;
     }
     m_armed = true;
-    m_timer.expires_after(look_every);
+    m_timer.expires_after(check_interval);
     m_timer.async_wait(
         [this, alive = m_alive](boost::system::error_code cancelled)
         {
@@ -126,7 +126,7 @@
                 {
                     begin(grant);
                 }
-                give_up(m_pool.expire(now), now);
+                fail_expired(m_pool.expire(now), now);
                 if (m_pool.waiting() > 0)
                 {
                     arm();
@@ -135,7 +135,7 @@
         });
 }
 
-void pooled_client::give_up(const std::vector<pooled_call>& calls, monotonic_time now)
+void pooled_client::fail_expired(const std::vector<pooled_call>& calls, monotonic_time now)
 {
     if (calls.empty())
     {
--- a/src/fabric/replica_host.cpp
+++ b/src/fabric/replica_host.cpp
@@ -127,14 +127,14 @@
 {
     if (m_pumping || m_failed)
     {
-        m_again = true;
+        m_pump_again = true;
         return;
     }
     m_pumping = true;
     std::size_t applied = 0;
     do
     {
-        m_again = false;
+        m_pump_again = false;
         const monotonic_time now = monotonic_now();
         replica_output output =
             m_writing ? m_group->core().take_unsynced(now) : m_group->core().take_output(now);
@@ -144,15 +144,15 @@
         {
             // A leader may send append requests before its own entries are durable; messages that
             // acknowledge or promise anything wait for the disk.
-            const bool may_go =
+            const bool can_send_now =
                 !sync || (!output.state && std::holds_alternative<append_request>(envelope.message));
-            if (may_go)
+            if (can_send_now)
             {
                 m_hooks.send(envelope);
             }
             else
             {
-                m_held.push_back(std::move(envelope));
+                m_held_messages.push_back(std::move(envelope));
             }
         }
         applied += m_group->apply(output) + (output.install ? 1 : 0);
@@ -165,8 +165,8 @@
             m_group->core().synced(now);
             store_snapshot_if_due();
         }
-        m_again = m_again || m_group->core().commit_index() > m_group->applied();
-    } while (m_again);
+        m_pump_again = m_pump_again || m_group->core().commit_index() > m_group->applied();
+    } while (m_pump_again);
     m_pumping = false;
     if (applied > 0)
     {
@@ -184,11 +184,11 @@
         },
         [this](const result<done, storage_error>& outcome)
         {
-            written(outcome);
+            handle_write_result(outcome);
         });
 }
 
-void replica_host::written(const result<done, storage_error>& outcome)
+void replica_host::handle_write_result(const result<done, storage_error>& outcome)
 {
     if (!ok(outcome) && error_of(outcome).code != storage_code::cannot_write)
     {
@@ -198,7 +198,7 @@
     }
     if (!ok(outcome))
     {
-        m_refused = true;
+        m_write_refused = true;
         m_hooks.disk_refuses(error_of(outcome));
         m_writing = true;
         m_retry.expires_after(write_again);
@@ -212,11 +212,11 @@
             });
         return;
     }
-    if (std::exchange(m_refused, false))
+    if (std::exchange(m_write_refused, false))
     {
         m_hooks.disk_accepts();
     }
-    for (const replica_envelope& envelope : std::exchange(m_held, {}))
+    for (const replica_envelope& envelope : std::exchange(m_held_messages, {}))
     {
         m_hooks.send(envelope);
     }
@@ -240,7 +240,7 @@
             },
             [this](const result<done, storage_error>& outcome)
             {
-                written(outcome);
+                handle_write_result(outcome);
             });
     }
     else if (m_folder->wants_rewrite())
@@ -254,7 +254,7 @@
             },
             [this](const result<done, storage_error>& outcome)
             {
-                written(outcome);
+                handle_write_result(outcome);
             });
     }
 }
--- a/src/fabric/web_client.cpp
+++ b/src/fabric/web_client.cpp
@@ -21,7 +21,7 @@
 namespace http = boost::beast::http;
 using tcp = asio::ip::tcp;
 
-constexpr milliseconds connect_patience{
+constexpr milliseconds connect_timeout{
     700}; // connecting takes a few ms; does not wait for the retransmission of a lost SYN
 constexpr duration own_delay = milliseconds(200); // a timer that fires later shows that this process did not
                                                   // run, so the timeout says nothing about the peer
@@ -46,9 +46,9 @@
     {
     }
 
-    void send(web_request request, milliseconds patience, web_answer_handler handler) override
+    void send(web_request request, milliseconds timeout, web_answer_handler handler) override
     {
-        m_queue.push_back({std::move(request), patience, std::move(handler)});
+        m_queue.push_back({std::move(request), timeout, std::move(handler)});
         if (!m_busy)
         {
             next();
@@ -79,7 +79,7 @@
     struct waiting_request
     {
         web_request request;
-        milliseconds patience;
+        milliseconds timeout;
         web_answer_handler handler;
     };
 
@@ -103,7 +103,7 @@
         attempt();
     }
 
-    [[nodiscard]] web_failure no_connection(const beast::error_code& failed) const
+    [[nodiscard]] web_failure classify_connect_failure(const beast::error_code& failed) const
     {
         if (m_sent)
         {
@@ -117,7 +117,7 @@
     void attempt()
     {
         m_deadline =
-            asio::steady_timer::clock_type::now() + m_current.patience; // in the clock of the stream's timer
+            asio::steady_timer::clock_type::now() + m_current.timeout; // in the clock of the stream's timer
         m_reused = m_open;
         if (m_open)
         {
@@ -131,7 +131,7 @@
             return;
         }
         m_connect_deadline =
-            asio::steady_timer::clock_type::now() + std::min(connect_patience, m_current.patience);
+            asio::steady_timer::clock_type::now() + std::min(connect_timeout, m_current.timeout);
         m_stream->expires_at(m_connect_deadline);
         m_stream->async_connect(*endpoint,
                                 [keep = self()](beast::error_code failed)
@@ -139,7 +139,7 @@
                                     if (failed)
                                     {
                                         keep->drop_connection();
-                                        keep->finish(keep->no_connection(failed));
+                                        keep->finish(keep->classify_connect_failure(failed));
                                         return;
                                     }
                                     keep->prepare_socket();
@@ -206,12 +206,12 @@
                              answer.status = response.result_int();
                              answer.body = std::move(response.body());
                              answer.repeated = keep->m_repeated;
-                             keep->take(std::move(answer));
+                             keep->handle_response(std::move(answer));
                          });
     }
 
     // If another process answers the probe, its response is returned and the request is not sent.
-    void take(web_answer answer)
+    void handle_response(web_answer answer)
     {
         if (!m_asks || !m_current.request.recipient->is_meant(answer))
         {
@@ -224,7 +224,7 @@
             return;
         }
         m_known_as = m_current.request.recipient->name;
-        m_deadline = asio::steady_timer::clock_type::now() + m_current.patience;
+        m_deadline = asio::steady_timer::clock_type::now() + m_current.timeout;
         write();
     }
 
--- a/src/fabric/web_listener.cpp
+++ b/src/fabric/web_listener.cpp
@@ -57,8 +57,8 @@
 {
     struct session;
 
-    core(asio::io_context& io, web_bounds limits, web_handler taker)
-        : loop(io), acceptor(io), pause(io), bounds(limits), handler(std::move(taker))
+    core(asio::io_context& io, web_bounds limits, web_handler request_handler)
+        : loop(io), acceptor(io), accept_timer(io), bounds(limits), handler(std::move(request_handler))
     {
     }
 
@@ -68,7 +68,7 @@
 
     asio::io_context& loop;
     tcp::acceptor acceptor;
-    asio::steady_timer pause;
+    asio::steady_timer accept_timer;
     web_bounds bounds;
     web_handler handler;
     std::list<session*> idle; ///< without a request, longest idle first
@@ -117,7 +117,7 @@
     }
 
     // The pending read fails, which ends the session.
-    void give_way()
+    void close_idle()
     {
         set_idle(false);
         beast::error_code ignored; // the peer may have closed first
@@ -159,11 +159,11 @@
         http::async_read(stream, buffer, *parser,
                          [self = shared_from_this()](beast::error_code failed, std::size_t /*bytes*/)
                          {
-                             self->take(failed);
+                             self->handle_read(failed);
                          });
     }
 
-    void take(beast::error_code failed)
+    void handle_read(beast::error_code failed)
     {
         if (failed == http::error::body_limit)
         {
@@ -257,14 +257,14 @@
     {
         return false;
     }
-    idle.front()->give_way();
+    idle.front()->close_idle();
     return true;
 }
 
 void web_listener::core::accept_later()
 {
-    pause.expires_after(detail::accept_pause);
-    pause.async_wait(
+    accept_timer.expires_after(detail::accept_pause);
+    accept_timer.async_wait(
         [self = shared_from_this()](beast::error_code cancelled)
         {
             if (!cancelled && self->acceptor.is_open())
@@ -326,7 +326,7 @@
 void web_listener::stop_accepting()
 {
     beast::error_code ignored; // closing twice is harmless
-    m_core->pause.cancel();
+    m_core->accept_timer.cancel();
     m_core->acceptor.close(ignored);
 }
 
--- a/tests/src/narrow_pool.hpp
+++ b/tests/src/narrow_pool.hpp
@@ -36,7 +36,7 @@
         m_waiting[call] = {order, handler};
         const duration timeout = milliseconds(order.wait_ms) + order.timeout;
         if (const auto grant =
-                m_connections.want(call, order.to.address, call_need::usual, now() + timeout, now()))
+                m_connections.acquire(call, order.to.address, call_need::usual, now() + timeout, now()))
         {
             begin(*grant);
         }
@@ -45,7 +45,7 @@
   private:
     void begin(const pool_grant& grant)
     {
-        m_connections_opened += grant.fresh ? 1 : 0;
+        m_connections_opened += grant.is_new ? 1 : 0;
         const auto [order, handler] = m_waiting.extract(grant.call).mapped();
         pool_stand_in::carry_look(
             order,
--- a/tests/src/unit-connections.cpp
+++ b/tests/src/unit-connections.cpp
@@ -30,33 +30,33 @@
         std::string address;
         bool busy{};
     };
-    struct asked
+    struct call_record
     {
         std::string address;
-        call_need need{};
+        call_need priority{};
         monotonic_time since{};
         bool granted{};
         bool expired{};
     };
 
-    pool_run(std::size_t most, std::size_t most_each)
-        : bounds{most, most_each, milliseconds(25), seconds(15)}, pool(bounds)
+    pool_run(std::size_t max_connections, std::size_t most_each)
+        : bounds{max_connections, most_each, milliseconds(25), seconds(15)}, pool(bounds)
     {
     }
 
-    void want(const std::string& address, call_need need, milliseconds patience)
+    void acquire(const std::string& address, call_need priority, milliseconds timeout)
     {
         const pooled_call call{next++};
-        calls[call] = {address, need, now, false, false};
-        if (const auto grant = pool.want(call, address, need, now + patience, now))
+        calls[call] = {address, priority, now, false, false};
+        if (const auto grant = pool.acquire(call, address, priority, now + timeout, now))
         {
-            take(*grant);
+            apply_grant(*grant);
         }
         check();
     }
-    void take(const pool_grant& grant)
+    void apply_grant(const pool_grant& grant)
     {
-        asked& call = calls.at(grant.call);
+        call_record& call = calls.at(grant.call);
         BOOST_REQUIRE(!call.granted);
         BOOST_REQUIRE(!call.expired);
         BOOST_REQUIRE_EQUAL(call.address, grant.address);
@@ -67,9 +67,9 @@
             BOOST_REQUIRE(!uses.at(*grant.replaced).busy);
             uses.erase(*grant.replaced);
         }
-        BOOST_REQUIRE_EQUAL(uses.contains(grant.connection), !grant.fresh);
+        BOOST_REQUIRE_EQUAL(uses.contains(grant.connection), !grant.is_new);
         uses[grant.connection] = {grant.call, grant.address, true};
-        opened += grant.fresh ? 1 : 0;
+        opened += grant.is_new ? 1 : 0;
     }
     void finish(pooled_id connection, bool open)
     {
@@ -85,7 +85,7 @@
         const auto grant = pool.release(connection, open, now);
         if (grant)
         {
-            take(*grant);
+            apply_grant(*grant);
         }
         check();
     }
@@ -93,7 +93,7 @@
     {
         for (const pool_grant& grant : pool.open_more(now))
         {
-            take(grant);
+            apply_grant(grant);
         }
         for (const pooled_call call : pool.expire(now))
         {
@@ -104,7 +104,7 @@
     }
     void check() const
     {
-        BOOST_REQUIRE_LE(uses.size(), bounds.most);
+        BOOST_REQUIRE_LE(uses.size(), bounds.max_connections);
         BOOST_REQUIRE_EQUAL(uses.size(), pool.open());
     }
     [[nodiscard]] std::vector<pooled_id> busy() const
@@ -126,7 +126,7 @@
     std::uint64_t next = 1;
     std::size_t opened = 0;
     duration longest_wait{};
-    std::map<pooled_call, asked> calls;
+    std::map<pooled_call, call_record> calls;
     std::map<pooled_id, use> uses;
 };
 } // namespace
@@ -134,17 +134,17 @@
 BOOST_AUTO_TEST_CASE(a_call_uses_an_idle_connection_of_its_address)
 {
     pool_run run(4, 2);
-    run.want("a", call_need::usual, milliseconds(300));
+    run.acquire("a", call_need::usual, milliseconds(300));
     run.finish(run.busy().front(), true);
-    run.want("a", call_need::usual, milliseconds(300));
+    run.acquire("a", call_need::usual, milliseconds(300));
     BOOST_TEST(run.opened == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(a_call_waits_a_moment_for_a_busy_connection_before_it_opens_another)
 {
     pool_run run(4, 2);
-    run.want("a", call_need::usual, milliseconds(300));
-    run.want("a", call_need::usual, milliseconds(300));
+    run.acquire("a", call_need::usual, milliseconds(300));
+    run.acquire("a", call_need::usual, milliseconds(300));
     BOOST_TEST(run.opened == 1U);
     run.now += milliseconds(24);
     run.expire();
@@ -152,7 +152,7 @@
     run.now += milliseconds(1);
     run.expire();
     BOOST_TEST(run.opened == 2U);
-    run.want("a", call_need::usual, milliseconds(300));
+    run.acquire("a", call_need::usual, milliseconds(300));
     run.now += milliseconds(30);
     run.expire();
     BOOST_TEST(run.opened == 2U); // the limit for one address is reached
@@ -165,11 +165,11 @@
     pool_run run(2, 1);
     for (const char* address : {"a", "b"})
     {
-        run.want(address, call_need::usual, milliseconds(300));
+        run.acquire(address, call_need::usual, milliseconds(300));
         run.finish(run.busy().front(), true);
         run.now += milliseconds(1);
     }
-    run.want("c", call_need::usual, milliseconds(300));
+    run.acquire("c", call_need::usual, milliseconds(300));
     BOOST_TEST(std::none_of(run.uses.begin(), run.uses.end(),
                             [](const auto& item)
                             {
@@ -180,10 +180,10 @@
 BOOST_AUTO_TEST_CASE(a_connection_that_comes_free_goes_to_who_needs_it_most)
 {
     pool_run run(1, 1);
-    run.want("a", call_need::usual, milliseconds(300));
-    run.want("b", call_need::usual, milliseconds(300));
-    run.want("a", call_need::usual, milliseconds(300));
-    run.want("c", call_need::pressing, milliseconds(300));
+    run.acquire("a", call_need::usual, milliseconds(300));
+    run.acquire("b", call_need::usual, milliseconds(300));
+    run.acquire("a", call_need::usual, milliseconds(300));
+    run.acquire("c", call_need::urgent, milliseconds(300));
     run.finish(run.busy().front(), true);
     BOOST_TEST(run.uses.begin()->second.address == "c");
     run.finish(run.busy().front(), true);
@@ -193,8 +193,8 @@
 BOOST_AUTO_TEST_CASE(a_call_that_waits_for_too_long_is_given_up_and_never_granted)
 {
     pool_run run(1, 1);
-    run.want("a", call_need::usual, milliseconds(300));
-    run.want("b", call_need::usual, milliseconds(300));
+    run.acquire("a", call_need::usual, milliseconds(300));
+    run.acquire("b", call_need::usual, milliseconds(300));
     run.now += milliseconds(300);
     run.expire();
     BOOST_TEST(run.calls.at(pooled_call{2}).expired);
@@ -206,7 +206,7 @@
 BOOST_AUTO_TEST_CASE(idle_connections_are_closed_after_a_while)
 {
     pool_run run(4, 1);
-    run.want("a", call_need::usual, milliseconds(300));
+    run.acquire("a", call_need::usual, milliseconds(300));
     run.finish(run.busy().front(), true);
     BOOST_TEST(run.pool.close_idle(run.now + seconds(14)).empty());
     BOOST_TEST(run.pool.close_idle(run.now + seconds(15)).size() == 1U);
@@ -232,8 +232,8 @@
                     run.now += milliseconds(1);
                     for (std::size_t i = below(4); i > 0; --i)
                     {
-                        run.want(address_of(below(workers)),
-                                 below(4) == 0 ? call_need::pressing : call_need::usual, milliseconds(300));
+                        run.acquire(address_of(below(workers)),
+                                    below(4) == 0 ? call_need::urgent : call_need::usual, milliseconds(300));
                     }
                     const auto busy = run.busy();
                     for (std::size_t i = std::min(below(5), busy.size()); i > 0; --i)
@@ -272,9 +272,9 @@
 {
     for (const std::size_t workers : {100U, 1100U, 4500U})
     {
-        const std::size_t most = std::max<std::size_t>(workers / 3, 40);
-        pool_run run(most, 1);
-        std::map<std::string, int> looked;
+        const std::size_t max_connections = std::max<std::size_t>(workers / 3, 40);
+        pool_run run(max_connections, 1);
+        std::map<std::string, int> poll_counts;
         std::multimap<monotonic_time, pooled_id> answers;
         std::set<pooled_id> known;
         const auto schedule = [&]
@@ -289,7 +289,7 @@
         };
         for (std::size_t i = 0; i < workers; ++i)
         {
-            run.want(address_of(i), call_need::usual, milliseconds(60000));
+            run.acquire(address_of(i), call_need::usual, milliseconds(60000));
         }
         schedule();
         for (std::size_t i = 0; i < 3 * workers; ++i)
@@ -299,13 +299,13 @@
             known.erase(id);
             run.now = when;
             const std::string address = run.uses.at(id).address;
-            ++looked[address];
+            ++poll_counts[address];
             run.finish(id, true);
-            run.want(address, call_need::usual, milliseconds(60000));
+            run.acquire(address, call_need::usual, milliseconds(60000));
             schedule();
         }
-        BOOST_TEST(looked.size() == workers);
-        BOOST_TEST(std::all_of(looked.begin(), looked.end(),
+        BOOST_TEST(poll_counts.size() == workers);
+        BOOST_TEST(std::all_of(poll_counts.begin(), poll_counts.end(),
                                [](const auto& item)
                                {
                                    return item.second >= 2 && item.second <= 4;
@@ -349,6 +349,6 @@
 {
     const auto parts = divide_descriptors(4100, descriptor_uses{true});
     BOOST_REQUIRE(ok(parts));
-    BOOST_TEST(value_of(parts).looks >= 1100U);
+    BOOST_TEST(value_of(parts).polls >= 1100U);
     BOOST_TEST(value_of(parts).peers >= 2 * 152U);
 }
--- a/tests/src/unit-fabric.cpp
+++ b/tests/src/unit-fabric.cpp
@@ -44,21 +44,21 @@
     leader_watch watch({"a", "b"}, {});
     BOOST_TEST(watch.whom_to_ask(at_ms(0)).size() == 2U);
     BOOST_TEST(watch.whom_to_ask(at_ms(50)).empty());
-    watch.take("a", {false, "c", 3, {"a", "b", "c"}}, at_ms(60));
+    watch.receive("a", {false, "c", 3, {"a", "b", "c"}}, at_ms(60));
     BOOST_TEST(watch.leader() == "c"); // reported by a peer; its own status confirms it
     BOOST_TEST(watch.known().size() == 3U);
-    watch.take("c", {true, "c", 3, {}}, at_ms(70));
+    watch.receive("c", {true, "c", 3, {}}, at_ms(70));
     BOOST_TEST(watch.leader() == "c");
 }
 
 BOOST_AUTO_TEST_CASE(a_silent_leader_is_forgotten_and_an_older_one_does_not_come_back)
 {
     leader_watch watch({"a", "b"}, {});
-    watch.take("a", {true, "a", 5, {}}, at_ms(0));
+    watch.receive("a", {true, "a", 5, {}}, at_ms(0));
     BOOST_TEST(watch.whom_to_ask(at_ms(1200)).size() == 2U);
     BOOST_TEST(watch.leader().empty());
-    watch.take("b", {true, "b", 6, {}}, at_ms(1300));
-    watch.take("a", {true, "a", 5, {}}, at_ms(1310));
+    watch.receive("b", {true, "b", 6, {}}, at_ms(1300));
+    watch.receive("a", {true, "a", 5, {}}, at_ms(1310));
     BOOST_TEST(watch.leader() == "b");
 }
 
@@ -66,10 +66,10 @@
 BOOST_AUTO_TEST_CASE(a_new_leader_is_asked_at_once)
 {
     leader_watch watch({"a", "b"}, {});
-    watch.take("a", {true, "a", 5, {}}, at_ms(0));
+    watch.receive("a", {true, "a", 5, {}}, at_ms(0));
     BOOST_TEST(watch.whom_to_ask(at_ms(400)).size() > 0U);
     BOOST_TEST(watch.whom_to_ask(at_ms(410)).empty());
-    watch.take("b", {true, "b", 6, {}}, at_ms(420));
+    watch.receive("b", {true, "b", 6, {}}, at_ms(420));
     const std::vector<std::string> asked = watch.whom_to_ask(at_ms(420));
     BOOST_TEST((std::find(asked.begin(), asked.end(), "b") != asked.end()));
 }
@@ -93,14 +93,14 @@
 BOOST_AUTO_TEST_CASE(callers_come_back_later_the_longer_there_is_no_leader_and_not_all_at_once)
 {
     leader_outage outage(at_ms(0));
-    const milliseconds patient{10'000};
-    BOOST_TEST(outage.come_back_s(at_ms(700), 0.99, patient) == 1);
-    BOOST_TEST(outage.come_back_s(at_ms(3500), 0.0, patient) == 1);
-    BOOST_TEST(outage.come_back_s(at_ms(3500), 0.99, patient) == 4);
-    BOOST_TEST(outage.come_back_s(at_ms(60'000), 1.0, patient) == 5);
-    BOOST_TEST(outage.come_back_s(at_ms(60'000), 0.99, milliseconds(2600)) ==
+    const milliseconds long_timeout{10'000};
+    BOOST_TEST(outage.choose_retry_after_s(at_ms(700), 0.99, long_timeout) == 1);
+    BOOST_TEST(outage.choose_retry_after_s(at_ms(3500), 0.0, long_timeout) == 1);
+    BOOST_TEST(outage.choose_retry_after_s(at_ms(3500), 0.99, long_timeout) == 4);
+    BOOST_TEST(outage.choose_retry_after_s(at_ms(60'000), 1.0, long_timeout) == 5);
+    BOOST_TEST(outage.choose_retry_after_s(at_ms(60'000), 0.99, milliseconds(2600)) ==
                2); // within the caller's remaining timeout
-    BOOST_TEST(outage.come_back_s(at_ms(60'000), 0.99, milliseconds(100)) == 1);
+    BOOST_TEST(outage.choose_retry_after_s(at_ms(60'000), 0.99, milliseconds(100)) == 1);
 }
 
 // A call that was sent to a leader may have taken effect, so it must not be reported as "not run".
@@ -115,12 +115,12 @@
                        {
                            return false;
                        });
-    std::vector<std::string> told;
-    const auto listen = [&told](const std::string& name)
+    std::vector<std::string> outcomes;
+    const auto listen = [&outcomes](const std::string& name)
     {
-        return [&told, name](const service_reply& reply)
+        return [&outcomes, name](const service_reply& reply)
         {
-            told.push_back(name + (reply.what() == reply_kind::unavailable ? " not run" : " open"));
+            outcomes.push_back(name + (reply.what() == reply_kind::unavailable ? " not run" : " open"));
         };
     };
     router.set_leader(loopback(free_port()));
@@ -128,20 +128,20 @@
     router.set_leader("");
     router.call(submit_call{}, milliseconds(60'000), listen("held"));
     router.call(get_catalogue_call{}, milliseconds(60'000), listen("operator"));
-    BOOST_TEST(told.empty());
+    BOOST_TEST(outcomes.empty());
     const auto run_until = [&](std::size_t count) // the time limit only stops a hanging test
     {
-        for (int i = 0; i < 400 && told.size() < count; ++i)
+        for (int i = 0; i < 400 && outcomes.size() < count; ++i)
         {
             loop.run_for(milliseconds(50));
         }
     };
     run_until(1);
-    BOOST_TEST((told == std::vector<std::string>{"held not run"}));
+    BOOST_TEST((outcomes == std::vector<std::string>{"held not run"}));
     router.call(state_call{}, milliseconds(60'000), listen("late")); // the reply comes before `call` returns
-    BOOST_TEST((told == std::vector<std::string>{"held not run", "late not run"}));
+    BOOST_TEST((outcomes == std::vector<std::string>{"held not run", "late not run"}));
     run_until(3);
-    BOOST_TEST((told == std::vector<std::string>{"held not run", "late not run", "sent open"}));
+    BOOST_TEST((outcomes == std::vector<std::string>{"held not run", "late not run", "sent open"}));
     BOOST_TEST(router.waiting() == 1U);
 }
 
@@ -154,25 +154,25 @@
 struct desk_fixture
 {
     std::vector<std::pair<std::string, advice_desk::answer_handler>> asked;
-    advice_desk desk{
-        [this](const std::string& asker, const advice_question&, advice_desk::answer_handler handler)
+    advice_desk advisor_queries{
+        [this](const std::string& client, const advice_question&, advice_desk::answer_handler handler)
         {
-            asked.emplace_back(asker, std::move(handler));
+            asked.emplace_back(client, std::move(handler));
         }};
     monotonic_time now = at_ms(0);
     int answers = 0;
 
     desk_fixture()
     {
-        desk.set_clock(
+        advisor_queries.set_clock(
             [this]
             {
                 return now;
             });
     }
-    void put(bool urgent)
+    void enqueue(bool urgent)
     {
-        desk.put(
+        advisor_queries.enqueue(
             {}, urgent,
             [this](const advice_answer&)
             {
@@ -185,9 +185,9 @@
 
 BOOST_FIXTURE_TEST_CASE(one_question_at_a_time_for_each_process, desk_fixture)
 {
-    desk.note_asker("a", now);
-    put(true);
-    put(true);
+    advisor_queries.note_asker("a", now);
+    enqueue(true);
+    enqueue(true);
     BOOST_TEST(asked.size() == 1U);
     asked.front().second({true, {}, {}, 0});
     BOOST_TEST(asked.size() == 2U);
@@ -198,40 +198,40 @@
 {
     for (const char* name : {"a", "b", "c", "d"})
     {
-        desk.note_asker(name, now);
+        advisor_queries.note_asker(name, now);
     }
     for (int i = 0; i < 4; ++i)
     {
-        put(false);
+        enqueue(false);
     }
     BOOST_TEST(asked.size() == 2U);
-    put(true);
+    enqueue(true);
     BOOST_TEST(asked.size() == 3U);
 }
 
 BOOST_FIXTURE_TEST_CASE(a_question_that_waited_for_long_goes_ahead_of_urgent_ones, desk_fixture)
 {
-    desk.note_asker("a", now);
-    put(true);
-    put(false);
-    for (int i = 0; i < 20 && desk.normal_waiting() > 0; ++i)
+    advisor_queries.note_asker("a", now);
+    enqueue(true);
+    enqueue(false);
+    for (int i = 0; i < 20 && advisor_queries.normal_waiting() > 0; ++i)
     {
-        put(true); // there is always an urgent query
+        enqueue(true); // there is always an urgent query
         now += milliseconds(100);
-        desk.note_asker("a", now);
+        advisor_queries.note_asker("a", now);
         asked.back().second({true, {}, {}, 0});
     }
-    BOOST_TEST(desk.normal_waiting() == 0U);
+    BOOST_TEST(advisor_queries.normal_waiting() == 0U);
     BOOST_TEST((now - at_ms(0) > seconds(1)));
 }
 
 BOOST_FIXTURE_TEST_CASE(a_process_without_answer_is_passed_over_for_a_while, desk_fixture)
 {
-    desk.note_asker("a", now);
-    desk.note_asker("b", now);
-    put(true);
+    advisor_queries.note_asker("a", now);
+    advisor_queries.note_asker("b", now);
+    enqueue(true);
     asked.front().second({});
-    put(true);
+    enqueue(true);
     BOOST_TEST(asked.back().first == "b");
     BOOST_TEST(answers == 1);
 }
@@ -240,7 +240,7 @@
 // would respond.
 BOOST_FIXTURE_TEST_CASE(a_question_reaches_the_one_process_that_answers, desk_fixture)
 {
-    constexpr milliseconds patience{2500};
+    constexpr milliseconds timeout{2500};
     constexpr milliseconds retry{250};
     const monotonic_time end = now + seconds(30);
     bool answered = false;
@@ -248,13 +248,13 @@
     {
         for (const char* name : {"a", "b", "c"})
         {
-            desk.note_asker(name, now);
+            advisor_queries.note_asker(name, now);
         }
         const std::size_t before = asked.size();
-        put(true);
+        enqueue(true);
         BOOST_REQUIRE(asked.size() == before + 1);
         answered = asked.back().first == "c";
-        now += answered ? milliseconds(10) : patience;
+        now += answered ? milliseconds(10) : timeout;
         asked.back().second({answered, {}, {}, 0});
         now += retry;
     }
@@ -268,9 +268,9 @@
     std::size_t lost = 0;
     for (int i = 0; i < 10; ++i)
     {
-        desk.note_asker("a", now);
-        desk.note_asker("b", now);
-        put(true);
+        advisor_queries.note_asker("a", now);
+        advisor_queries.note_asker("b", now);
+        enqueue(true);
         const bool answers_it = asked.back().first == "b";
         lost += answers_it ? 0 : 1;
         asked.back().second({answers_it, {}, {}, 0});
@@ -281,22 +281,22 @@
 
 BOOST_FIXTURE_TEST_CASE(a_process_that_reports_no_more_is_not_asked, desk_fixture)
 {
-    desk.note_asker("a", now);
+    advisor_queries.note_asker("a", now);
     now += seconds(5);
-    put(true);
+    enqueue(true);
     BOOST_TEST(asked.empty());
-    desk.note_asker("b", now);
+    advisor_queries.note_asker("b", now);
     BOOST_TEST(asked.size() == 1U);
 }
 
 BOOST_FIXTURE_TEST_CASE(answers_from_before_a_change_of_leader_count_for_nothing, desk_fixture)
 {
-    desk.note_asker("a", now);
-    put(true);
-    desk.clear();
+    advisor_queries.note_asker("a", now);
+    enqueue(true);
+    advisor_queries.clear();
     asked.front().second({true, {}, {}, 0});
     BOOST_TEST(answers == 0);
-    BOOST_TEST(desk.busy() == 0U);
+    BOOST_TEST(advisor_queries.busy() == 0U);
 }
 
 // ---------------------------------------------------------------------------------------------------------
@@ -335,11 +335,11 @@
 {
     asio::io_context loop;
     const std::uint16_t port = free_port();
-    asio::ip::tcp::acceptor silent(loop, {asio::ip::address_v4::loopback(), port});
+    asio::ip::tcp::acceptor silent_acceptor(loop, {asio::ip::address_v4::loopback(), port});
     std::vector<asio::ip::tcp::socket> taken; // accepted connections that are never read or acknowledged
     std::function<void()> accept = [&]
     {
-        silent.async_accept(
+        silent_acceptor.async_accept(
             [&](boost::system::error_code failed, asio::ip::tcp::socket socket)
             {
                 if (!failed)
@@ -358,12 +358,12 @@
         loop, {loopback(free_port()), "a", false}, [](const std::string&, mesh_message) {},
         [](const std::string&, bool, const std::string&) {});
     BOOST_REQUIRE_EQUAL(sender.open(), "");
-    asio::steady_timer beat(loop);
+    asio::steady_timer send_timer(loop);
     std::function<void()> send = [&]
     {
         sender.send(loopback(port), leader_question{});
-        beat.expires_after(milliseconds(100));
-        beat.async_wait(
+        send_timer.expires_after(milliseconds(100));
+        send_timer.async_wait(
             [&](boost::system::error_code cancelled)
             {
                 if (!cancelled)
--- a/tests/src/unit-recipients.cpp
+++ b/tests/src/unit-recipients.cpp
@@ -22,7 +22,7 @@
     std::string address;
     std::unique_ptr<asio::io_context> process; // destroyed together with its connections
     std::unique_ptr<web_listener> listener;
-    std::vector<std::string> seen; // bodies with the name of the receiving process
+    std::vector<std::string> received; // bodies with the name of the receiving process
     std::shared_ptr<web_channel> channel;
 
     fixture()
@@ -41,21 +41,21 @@
             *process, web_bounds{},
             [this, name](const web_request& request, const std::function<void(web_answer)>& answer)
             {
-                seen.push_back(name + ' ' + request.body);
+                received.push_back(name + ' ' + request.body);
                 answer(web_answer{200, name, {}, {}, false});
             });
         BOOST_REQUIRE_EQUAL(listener->open(address), "");
     }
-    std::string send_to(const std::string& meant)
+    std::string send_to(const std::string& recipient_name)
     {
         web_request request;
         request.method = "POST";
         request.target = "/x";
         request.body = "confirm";
-        request.recipient = web_recipient{meant, "who",
-                                          [meant](const web_answer& answer)
+        request.recipient = web_recipient{recipient_name, "who",
+                                          [recipient_name](const web_answer& answer)
                                           {
-                                              return answer.body == meant;
+                                              return answer.body == recipient_name;
                                           }};
         std::optional<std::string> out;
         channel->send(std::move(request), milliseconds(20000),
@@ -82,18 +82,18 @@
     run_process("p1");
     BOOST_TEST(send_to("p1") == "p1");
     BOOST_TEST(send_to("p1") == "p1");
-    BOOST_TEST((seen == bodies{"p1 who", "p1 confirm", "p1 confirm"}));
+    BOOST_TEST((received == bodies{"p1 who", "p1 confirm", "p1 confirm"}));
 }
 
 BOOST_FIXTURE_TEST_CASE(nothing_but_the_question_reaches_another_process, fixture)
 {
     run_process("p1");
     BOOST_TEST(send_to("p1") == "p1");
-    seen.clear();
+    received.clear();
     run_process("p2");
     BOOST_TEST(send_to("p1") == "p2");
     BOOST_TEST(send_to("p1") == "p2");
     BOOST_TEST(send_to("p2") == "p2");
     BOOST_TEST(send_to("p1") == "p2"); // as for a request queued before the restart was known
-    BOOST_TEST((seen == bodies{"p2 who", "p2 who", "p2 who", "p2 confirm", "p2 who"}));
+    BOOST_TEST((received == bodies{"p2 who", "p2 who", "p2 who", "p2 confirm", "p2 who"}));
 }
