--- a/include/walkthread/node/core.hpp
+++ b/include/walkthread/node/core.hpp
@@ -56,7 +56,7 @@
     process_core& operator=(const process_core&) = delete;
 
     /// @brief Adds a group of which this process is a replica. Only before `start`.
-    replicated_group& add_group(group_id id, state_hooks hooks, group_duties duties);
+    replicated_group& add_group(group_id id, state_hooks hooks, group_duties callbacks);
     /// @brief Adds a function that is called every tick. Only before `start`.
     void add_ticker(std::function<void(monotonic_time, wall_ms)> ticker);
     /// @brief Starts the network and the core thread. @return whether the peer address could be bound
@@ -75,12 +75,12 @@
     /// @brief Calls a given process, whether or not it leads the group. From any thread.
     void call_node(node_id node, group_id group, call_body body, milliseconds timeout, reply_handler handler);
     /// @brief Calls a group's leader and waits for the reply. Not from the core thread.
-    [[nodiscard]] reply_body ask(group_id group, call_body body, milliseconds timeout);
+    [[nodiscard]] reply_body call_and_wait(group_id group, call_body body, milliseconds timeout);
     /// @brief Calls a given process and waits for the reply. Not from the core thread.
     [[nodiscard]] reply_body ask_node(node_id node, group_id group, call_body body, milliseconds timeout);
     /// @brief Notifies all peers that the state of a group changed. Notifications between two flushes are
     /// merged into one.
-    void announce(group_id group);
+    void notify_peers(group_id group);
     /// @brief Sets the handler for change notices of peers. Only before `start`.
     void on_news(std::function<void(group_id)> handler);
     /// @brief Sets the handler for calls that need no leader, such as timeline calls. Only before `start`.
@@ -116,7 +116,7 @@
     struct owned_group
     {
         std::unique_ptr<replicated_group> group;
-        group_duties duties;
+        group_duties callbacks;
         bool led = false;
     };
     struct pending_call
@@ -125,7 +125,7 @@
         call_body body;
         monotonic_time deadline{};
         monotonic_time retry_at{};
-        std::optional<node_id> only; ///< the process to call instead of the leader
+        std::optional<node_id> target_node; ///< the process to call instead of the leader
         std::size_t attempt = 0;
         bool waiting = false; ///< sent and not answered yet
         node_id sent_to{};
@@ -150,7 +150,7 @@
     void change_members(group_id group, const members_call& change, const reply_handler& handler);
     [[nodiscard]] bool has_moved(const pending_call& call) const;
     [[nodiscard]] node_id target_of(const pending_call& call) const;
-    void note_leadership(owned_group& owned);
+    void update_leadership(owned_group& owned);
     void fail(const storage_error& error);
 
     const settings& m_settings;
@@ -167,7 +167,7 @@
     std::map<std::uint64_t, pending_call> m_calls;
     std::map<group_id, node_id> m_leader_hints;
     std::vector<group_id> m_announce;
-    std::uint64_t m_next_call = first_call_number();
+    std::uint64_t m_next_call_id = first_call_number();
 
     std::thread m_thread;
     std::mutex m_mutex;
--- a/include/walkthread/node/endpoint_feed.hpp
+++ b/include/walkthread/node/endpoint_feed.hpp
@@ -52,13 +52,13 @@
         term_id term{};
         std::uint64_t revision{};
         monotonic_time next{};
-        bool asking{};
-        bool ask_again{};
+        bool in_flight{};
+        bool refresh_again{};
     };
 
     void tick(monotonic_time now);
-    void take(hall_id hall, monotonic_time asked, const endpoints_reply& reply);
-    void take_services();
+    void apply_update(hall_id hall, monotonic_time sent_at, const endpoints_reply& reply);
+    void update_services();
 
     process_core& m_core;
     root_service& m_root;
--- a/include/walkthread/node/exchange.hpp
+++ b/include/walkthread/node/exchange.hpp
@@ -57,8 +57,8 @@
 
   private:
     struct connection;
-    [[nodiscard]] std::unique_ptr<connection> take(const endpoint& to, const exchange_request& request);
-    void keep(const endpoint& to, std::unique_ptr<connection> used);
+    [[nodiscard]] std::unique_ptr<connection> acquire(const endpoint& to, const exchange_request& request);
+    void return_to_pool(const endpoint& to, std::unique_ptr<connection> used);
 
     std::mutex m_mutex;
     std::unordered_map<std::string, std::vector<std::unique_ptr<connection>>> m_idle;
--- a/include/walkthread/node/hall_service.hpp
+++ b/include/walkthread/node/hall_service.hpp
@@ -40,9 +40,9 @@
 
   private:
     /// State of a leader that is not replicated. Discarded when leadership ends.
-    struct leading
+    struct leader_state
     {
-        leading(const settings& config, scheduler_settings policy);
+        leader_state(const settings& config, scheduler_settings policy);
 
         term_id term{};
         scheduler planner;
@@ -54,11 +54,11 @@
         monotonic_time next_summary{};
         std::vector<run_report> reports;                    ///< to be proposed with the next log entry
         std::set<std::pair<run_id, std::uint8_t>> reported; ///< queued or proposed, not applied yet
-        std::set<run_id> over_size;                         ///< runs to throttle
+        std::set<run_id> runs_to_throttle;                  ///< runs to throttle
         std::set<run_id> placed;                            ///< placed by this leader
-        std::set<run_id> start_sent;                ///< runs whose start order was in a reply of this leader
-        std::set<run_id> withdrawn;                 ///< reported as never started; commit pending
-        std::map<run_id, monotonic_time> stop_seen; ///< when this leader first saw the stop
+        std::set<run_id> start_sent; ///< runs whose start order was in a reply of this leader
+        std::set<run_id> withdrawn;  ///< reported as never started; commit pending
+        std::map<run_id, monotonic_time> stop_first_seen; ///< when this leader first saw the stop
         std::map<job_id, std::uint64_t> service_revision;
         std::uint64_t revision = 1;
         std::set<worker_id> platform_drained;
@@ -84,7 +84,7 @@
     [[nodiscard]] std::vector<run_id> withdraw_untold(worker_id worker);
     void end_withdrawal(const std::vector<run_id>& runs);
     void probe_quarantined(wall_ms wall);
-    void make_schedule(wall_ms wall);
+    void schedule_waiting_tasks(wall_ms wall);
     void reconcile_with_root();
     void report_ends(const std::vector<job_id>& ended);
     void send_summary(monotonic_time now);
@@ -96,19 +96,19 @@
     // hall_renewals.cpp
     void handle_renewal(const renew_call& call, const reply_handler& handler);
     void register_new(const renew_call& call, const reply_handler& handler);
-    void take_statuses(const worker_record& worker, const renew_call& call, monotonic_time now);
-    void take_status(const worker_record& worker, const run_status& status, monotonic_time now);
-    void judge_usage(const run_status& status, const hall_job& job, monotonic_time now);
+    void process_statuses(const worker_record& worker, const renew_call& call, monotonic_time now);
+    void process_status(const worker_record& worker, const run_status& status, monotonic_time now);
+    void check_usage(const run_status& status, const hall_job& job, monotonic_time now);
     [[nodiscard]] renew_reply orders_for(const worker_record& worker, const std::vector<run_status>& runs,
                                          monotonic_time now);
     void answer_status(const worker_record& worker, const run_status& status, renew_reply& reply) const;
-    void add_order(const task_id& id, bool told, monotonic_time now, renew_reply& reply);
+    void add_order(const task_id& id, bool known_to_worker, monotonic_time now, renew_reply& reply);
     [[nodiscard]] std::optional<halt_order> halt_for(const task_id& id, const hall_job& job,
                                                      monotonic_time now);
     void answer_parked(worker_id worker, monotonic_time now);
     void answer_due(monotonic_time now);
     void flush_reports();
-    [[nodiscard]] static bool has_news(const renew_reply& reply);
+    [[nodiscard]] static bool has_orders(const renew_reply& reply);
 
     // hall_events.cpp
     void note_events(wall_ms at, const hall_command& command);
@@ -122,7 +122,7 @@
     logger m_log;
     hall_state m_state;
     replicated_group* m_group = nullptr;
-    std::unique_ptr<leading> m_leading;
+    std::unique_ptr<leader_state> m_leader_state;
     std::map<worker_id, parked_renewal> m_parked;
     std::uint64_t m_seen_services = 0;
 };
--- a/include/walkthread/node/http_answers.hpp
+++ b/include/walkthread/node/http_answers.hpp
@@ -27,10 +27,10 @@
 } // namespace http_status
 
 /// @brief A response with an error document. Status 503 carries Retry-After.
-[[nodiscard]] http_answer error_answer(int status, int code, const std::string& detail);
+[[nodiscard]] http_response error_response(int status, int code, const std::string& detail);
 /// @brief A response with an error of the node layer.
-[[nodiscard]] http_answer error_answer(int status, node_code code, const std::string& detail);
+[[nodiscard]] http_response error_response(int status, node_code code, const std::string& detail);
 /// @brief A response with status 200.
-[[nodiscard]] http_answer plain_answer(std::string body, std::string content_type = "application/json");
+[[nodiscard]] http_response ok_response(std::string body, std::string content_type = "application/json");
 
 } // namespace walkthread
--- a/include/walkthread/node/http_host.hpp
+++ b/include/walkthread/node/http_host.hpp
@@ -31,7 +31,7 @@
 
 /// @brief An HTTP response.
 /// @since 0.1
-struct http_answer
+struct http_response
 {
     int status = 200;
     std::string body{};
@@ -40,7 +40,7 @@
 };
 
 /// @brief Handles a request. Called concurrently from the server's threads.
-using http_handler = std::function<http_answer(const http_request&)>;
+using http_handler = std::function<http_response(const http_request&)>;
 
 /// @brief Resource limits of one HTTP server.
 /// @since 0.1
@@ -63,7 +63,7 @@
 {
   public:
     /// @param certificate path of a PEM file; empty for plain HTTP
-    http_host(socket_address address, const http_bounds& bounds, const std::string& certificate,
+    http_host(socket_address address, const http_bounds& limits, const std::string& certificate,
               const std::string& key);
     ~http_host();
     http_host(const http_host&) = delete;
--- a/include/walkthread/node/messages.hpp
+++ b/include/walkthread/node/messages.hpp
@@ -53,11 +53,11 @@
 struct renew_call
 {
     worker_id worker{};
-    epoch_id epoch{};        ///< 0 to register
-    register_worker about{}; ///< used when registering
+    epoch_id epoch{};               ///< 0 to register
+    register_worker registration{}; ///< used when registering
     std::vector<run_status> runs{};
     std::int64_t wait_ms{}; ///< how long the leader may hold the reply until there are orders (long poll)
-    MSGPACK_DEFINE(worker, epoch, about, runs, wait_ms)
+    MSGPACK_DEFINE(worker, epoch, registration, runs, wait_ms)
 };
 
 /// @brief Requests root log entries after a given position from the root leader.
@@ -204,9 +204,9 @@
 {
     term_id term{};
     std::uint64_t revision{};
-    bool everything{}; ///< full list: replaces all earlier content
+    bool is_full{}; ///< full list: replaces all earlier content
     std::vector<service_endpoints> services{};
-    MSGPACK_DEFINE(term, revision, everything, services)
+    MSGPACK_DEFINE(term, revision, is_full, services)
 };
 
 /// @brief Reply to timeline_call.
--- a/include/walkthread/node/operator_api.hpp
+++ b/include/walkthread/node/operator_api.hpp
@@ -26,37 +26,39 @@
     operator_api(process_core& core, root_service& root, const std::atomic<bool>& healthy);
 
     /// @brief Adds all routes to an HTTP server.
-    void add_routes(http_host& host);
+    void add_routes(http_host& server);
     /// @brief Adds only /healthz, for the load balancer in front of the gateways.
-    void add_health(http_host& host);
+    void add_health(http_host& server);
 
   private:
     using organisation_handler =
-        std::function<http_answer(const organisation_settings&, const http_request&)>;
-    using plain_handler = std::function<http_answer(const http_request&)>;
+        std::function<http_response(const organisation_settings&, const http_request&)>;
+    using plain_handler = std::function<http_response(const http_request&)>;
 
-    [[nodiscard]] http_handler for_operators(organisation_handler handler);
+    [[nodiscard]] http_handler require_operator(organisation_handler handler);
     [[nodiscard]] http_handler for_admins(plain_handler handler);
-    void add_configuration_routes(http_host& host);
-    void add_admin_routes(http_host& host);
-    void add_state_routes(http_host& host);
+    void add_configuration_routes(http_host& server);
+    void add_admin_routes(http_host& server);
+    void add_state_routes(http_host& server);
 
-    http_answer put_template_of(const organisation_settings& who, const http_request& request);
-    http_answer put_team_of(const organisation_settings& who, const http_request& request);
-    http_answer put_configuration_of(const organisation_settings& who, const http_request& request);
-    http_answer withdraw(const organisation_settings& who, const http_request& request);
-    http_answer run_again(const organisation_settings& who, const http_request& request);
-    http_answer cancel(const organisation_settings& who, const http_request& request);
-    http_answer explain(const organisation_settings& who, const http_request& request);
-    http_answer timeline_for(organisation_id organisation, const http_request& request);
-    http_answer hosts();
-    http_answer drain(const http_request& request);
-    http_answer groups();
-    http_answer replace_member(const http_request& request);
-    http_answer ready();
+    http_response put_template_of(const organisation_settings& organisation, const http_request& request);
+    http_response put_team_of(const organisation_settings& organisation, const http_request& request);
+    http_response put_configuration_of(const organisation_settings& organisation,
+                                       const http_request& request);
+    http_response withdraw(const organisation_settings& organisation, const http_request& request);
+    http_response rerun(const organisation_settings& organisation, const http_request& request);
+    http_response cancel(const organisation_settings& organisation, const http_request& request);
+    http_response explain(const organisation_settings& organisation, const http_request& request);
+    http_response timeline_for(organisation_id organisation, const http_request& request);
+    http_response hosts();
+    http_response drain(const http_request& request);
+    http_response groups();
+    http_response replace_member(const http_request& request);
+    http_response ready();
 
-    http_answer command(const organisation_settings& who, const root_command& command);
-    http_answer read(const organisation_settings& who, query_kind what, const http_request& request);
+    http_response command(const organisation_settings& organisation, const root_command& command);
+    http_response read(const organisation_settings& organisation, query_kind what,
+                       const http_request& request);
 
     process_core& m_core;
     root_service& m_root;
--- a/include/walkthread/node/peer_network.hpp
+++ b/include/walkthread/node/peer_network.hpp
@@ -64,7 +64,7 @@
     {
         int socket = -1;
         std::thread thread;
-        std::atomic<bool> over{false};
+        std::atomic<bool> finished{false};
     };
 
     void accept_loop();
@@ -73,7 +73,7 @@
     bool handle_body(const std::string& body, node_id& from);
     [[nodiscard]] std::string frame_of(const peer_message& message);
     [[nodiscard]] bool write_batch(int socket, outgoing& out);
-    void reap();
+    void join_finished_readers();
 
     const settings& m_settings;
     incarnation_id m_incarnation;
@@ -87,8 +87,8 @@
     std::map<node_id, std::unique_ptr<outgoing>> m_out;
     std::mutex m_in_mutex;
     std::vector<std::unique_ptr<incoming>> m_in;
-    mutable std::mutex m_seen_mutex;
-    std::map<node_id, incarnation_id> m_seen;
+    mutable std::mutex m_incarnations_mutex;
+    std::map<node_id, incarnation_id> m_incarnations;
 };
 
 } // namespace walkthread
--- a/include/walkthread/node/process.hpp
+++ b/include/walkthread/node/process.hpp
@@ -66,7 +66,7 @@
     access_check m_access;
     std::unique_ptr<platform_watch> m_platform;
     std::vector<std::unique_ptr<http_host>> m_caller_hosts;
-    std::vector<std::unique_ptr<http_host>> m_hosts;
+    std::vector<std::unique_ptr<http_host>> m_servers;
     bool m_started = false;
 };
 
--- a/include/walkthread/node/request_router.hpp
+++ b/include/walkthread/node/request_router.hpp
@@ -33,10 +33,10 @@
     /// @return the endpoint's status (200..599) with outcome `completed`; 503 with `not_run` and Retry-After;
     ///         504 with `unknown`; 409 while a request with the same key is in progress; 410 if the request
     ///         ran but its response was not stored; 400, 404, 422 for requests that are never accepted
-    [[nodiscard]] http_answer handle(const organisation_settings& caller, const std::string& service,
-                                     const std::string& key, const std::string& body);
+    [[nodiscard]] http_response handle(const organisation_settings& caller, const std::string& service,
+                                       const std::string& key, const std::string& body);
     /// @brief Rejects new requests from now on, for shutdown. Requests in progress complete.
-    void refuse_new()
+    void reject_new_requests()
     {
         m_stopping = true;
     }
@@ -60,23 +60,23 @@
         attempt_id attempt{};
         monotonic_time deadline{};
     };
-    struct routed_end
+    struct routing_result
     {
         request_outcome outcome = request_outcome::not_run;
         exchange_result exchange;
         routing_code reason = routing_code::no_endpoint;
     };
 
-    http_answer route(routed_request& request);
-    http_answer route_claimed(routed_request& request);
-    routed_end send(routed_request& request);
-    bool settle(const routed_request& request, const routed_end& end);
-    http_answer unknown(const routed_request& request, const std::string& detail);
-    http_answer answer_of(const routed_request& request, const routed_end& end);
-    http_answer not_run(const routed_request& request, routing_code code, const std::string& detail);
-    http_answer kept_answer(const claim_result& kept);
-    http_answer refused_claim(const routed_request& request, const claim_result& refused);
-    void note(event_kind kind, const routed_request& request, std::string text);
+    http_response route(routed_request& request);
+    http_response route_claimed(routed_request& request);
+    routing_result send(routed_request& request);
+    bool record_outcome(const routed_request& request, const routing_result& end);
+    http_response unknown(const routed_request& request, const std::string& detail);
+    http_response response_for(const routed_request& request, const routing_result& end);
+    http_response not_run(const routed_request& request, routing_code code, const std::string& detail);
+    http_response kept_answer(const claim_result& kept);
+    http_response refused_claim(const routed_request& request, const claim_result& refused);
+    void record_event(event_kind kind, const routed_request& request, std::string text);
     [[nodiscard]] attempt_id next_attempt();
     [[nodiscard]] organisation_limits& limits_of(const organisation_settings& organisation);
 
--- a/include/walkthread/node/root_service.hpp
+++ b/include/walkthread/node/root_service.hpp
@@ -55,8 +55,8 @@
                                                          const std::string& template_name,
                                                          const parameters& given_values, std::uint8_t given);
     std::string apply(wall_ms at, const std::string& command);
-    void note_event(const root_command& command, const root_result& answer);
-    void take_view(monotonic_time asked, const root_view_reply& reply);
+    void record_event(const root_command& command, const root_result& answer);
+    void take_view(monotonic_time sent_at, const root_view_reply& reply);
     void confirm_if_applied();
     void tick(monotonic_time now);
     void changed();
@@ -64,7 +64,7 @@
     process_core& m_core;
     logger m_log;
     root_state m_state;
-    log_index m_followed{}; ///< applied index of a process that is not a replica
+    log_index m_followed_index{}; ///< applied index of a process that is not a replica
     replicated_group* m_group = nullptr;
     std::vector<std::function<void()>> m_on_change;
     std::map<hall_id, hall_load> m_halls; ///< maintained at the leader
@@ -72,8 +72,8 @@
     monotonic_time m_next_view{};
     monotonic_time m_pending_asked{};
     log_index m_pending_commit{};
-    bool m_asking = false;
-    bool m_ask_again = false;
+    bool m_update_in_flight = false;
+    bool m_refresh_again = false;
 };
 
 } // namespace walkthread
--- a/include/walkthread/node/worker_api.hpp
+++ b/include/walkthread/node/worker_api.hpp
@@ -18,10 +18,10 @@
   public:
     explicit worker_api(process_core& core);
     /// @brief Adds all routes to an HTTP server.
-    void add_routes(http_host& host);
+    void add_routes(http_host& server);
 
   private:
-    http_answer renew(const http_request& request);
+    http_response renew(const http_request& request);
 
     process_core& m_core;
     access_check m_access;
--- a/src/node/access.cpp
+++ b/src/node/access.cpp
@@ -10,12 +10,12 @@
 
 namespace
 {
-bool same(const std::string& a, const std::string& b)
+bool equal_hashes(const std::string& a, const std::string& b)
 {
     return a.size() == b.size() && CRYPTO_memcmp(a.data(), b.data(), a.size()) == 0;
 }
 
-std::string hash_of(const std::string& authorization)
+std::string token_hash(const std::string& authorization)
 {
     const std::string scheme = "Bearer ";
     return authorization.starts_with(scheme) ? sha256_hex(authorization.substr(scheme.size()))
@@ -44,34 +44,34 @@
 
 const organisation_settings* access_check::operator_of(const std::string& authorization) const
 {
-    const std::string hash = hash_of(authorization);
+    const std::string hash = token_hash(authorization);
     const organisation_settings* found = nullptr;
     for (const organisation_settings& organisation : m_settings.organisations)
     {
-        found = same(hash, organisation.operator_token) ? &organisation : found;
+        found = equal_hashes(hash, organisation.operator_token) ? &organisation : found;
     }
     return found;
 }
 
 const organisation_settings* access_check::caller_of(const std::string& authorization) const
 {
-    const std::string hash = hash_of(authorization);
+    const std::string hash = token_hash(authorization);
     const organisation_settings* found = nullptr;
     for (const organisation_settings& organisation : m_settings.organisations)
     {
-        found = same(hash, organisation.caller_token) ? &organisation : found;
+        found = equal_hashes(hash, organisation.caller_token) ? &organisation : found;
     }
     return found;
 }
 
 bool access_check::is_admin(const std::string& authorization) const
 {
-    return same(hash_of(authorization), m_settings.admin_token);
+    return equal_hashes(token_hash(authorization), m_settings.admin_token);
 }
 
 bool access_check::is_worker(const std::string& authorization) const
 {
-    return same(hash_of(authorization), m_settings.worker_token);
+    return equal_hashes(token_hash(authorization), m_settings.worker_token);
 }
 
 } // namespace walkthread
--- a/src/node/core.cpp
+++ b/src/node/core.cpp
@@ -32,7 +32,7 @@
     stop();
 }
 
-replicated_group& process_core::add_group(group_id id, state_hooks hooks, group_duties duties)
+replicated_group& process_core::add_group(group_id id, state_hooks hooks, group_duties callbacks)
 {
     replica_settings timing;
     timing.heartbeat = m_settings.timing.heartbeat;
@@ -50,7 +50,7 @@
     replica core(id, self, timing, std::move(start), seed, monotonic_now());
     owned_group& owned = m_groups[id];
     owned.group = std::make_unique<replicated_group>(id, std::move(core), std::move(hooks));
-    owned.duties = std::move(duties);
+    owned.callbacks = std::move(callbacks);
     return *owned.group;
 }
 
@@ -97,9 +97,9 @@
                                return item.second.group->core().role() == replica_role::leader;
                            });
     };
-    const monotonic_time give_up = monotonic_now() + hand_over_time;
+    const monotonic_time transfer_deadline = monotonic_now() + hand_over_time;
     bool led = true;
-    while (led && !m_failed && monotonic_now() < give_up)
+    while (led && !m_failed && monotonic_now() < transfer_deadline)
     {
         led = run<bool>(
             [this, &leads_any]
@@ -166,9 +166,9 @@
     for (auto& [id, owned] : m_groups)
     {
         owned.group->core().tick(now);
-        note_leadership(owned);
+        update_leadership(owned);
         led += owned.led ? 1 : 0;
-        owned.duties.tick(now, wall_now());
+        owned.callbacks.tick(now, wall_now());
     }
     for (const auto& ticker : m_tickers)
     {
@@ -178,7 +178,7 @@
     retry_calls(now);
 }
 
-void process_core::note_leadership(owned_group& owned)
+void process_core::update_leadership(owned_group& owned)
 {
     const bool leads_now = owned.group->core().role() == replica_role::leader;
     if (leads_now && !owned.led)
@@ -248,7 +248,7 @@
         const bool applied = owned->group->apply(output) > 0 || output.install.has_value();
         if (applied)
         {
-            owned->duties.applied();
+            owned->callbacks.applied();
         }
         more = more || applied || output.needs_sync();
     }
@@ -304,7 +304,7 @@
     return group != nullptr && group->leads(now);
 }
 
-void process_core::announce(group_id group)
+void process_core::notify_peers(group_id group)
 {
     if (std::find(m_announce.begin(), m_announce.end(), group) == m_announce.end())
     {
@@ -333,9 +333,9 @@
             {
                 handle_frame(*reply);
             }
-            else if (const auto* news = std::get_if<news_frame>(&message))
+            else if (const auto* notice = std::get_if<news_frame>(&message))
             {
-                m_on_news(news->group);
+                m_on_news(notice->group);
             }
         });
 }
@@ -395,28 +395,28 @@
         change_members(group, *change, handler);
         return;
     }
-    found->second.duties.handle(body, handler);
+    found->second.callbacks.handle(body, handler);
 }
 
 void process_core::change_members(group_id group, const members_call& change, const reply_handler& handler)
 {
     replica& core = m_groups.at(group).group->core();
     const monotonic_time now = monotonic_now();
-    learner newcomer = change.add;
+    learner new_learner = change.add;
     for (const replica_id& voter : core.members().voters)
     {
-        const bool older_self =
-            voter.node == newcomer.id.node && voter.incarnation != newcomer.id.incarnation;
-        newcomer.replaces = older_self ? voter : newcomer.replaces;
+        const bool former_incarnation =
+            voter.node == new_learner.id.node && voter.incarnation != new_learner.id.incarnation;
+        new_learner.replaces = former_incarnation ? voter : new_learner.replaces;
     }
-    const bool known = core.members().is_member(newcomer.id);
-    const auto done_here = newcomer.id.node.value() != 0 ? core.add_learner(newcomer, now)
-                                                         : core.remove_member(change.remove, now);
-    if (ok(done_here))
+    const bool known = core.members().is_member(new_learner.id);
+    const auto change_result = new_learner.id.node.value() != 0 ? core.add_learner(new_learner, now)
+                                                                : core.remove_member(change.remove, now);
+    if (ok(change_result))
     {
         handler(done_reply{!known});
         return;
     }
-    handler(not_here_reply{{}, static_cast<int>(node_code::change_pending), error_of(done_here).detail});
+    handler(not_here_reply{{}, static_cast<int>(node_code::change_pending), error_of(change_result).detail});
 }
 } // namespace walkthread
--- a/src/node/core_calls.cpp
+++ b/src/node/core_calls.cpp
@@ -12,7 +12,7 @@
 
 namespace
 {
-constexpr milliseconds retry_pause{100};
+constexpr milliseconds redirect_retry_delay{100};
 constexpr milliseconds silent_leader{1000};
 constexpr unsigned half_of_a_number = 32;
 } // namespace
@@ -45,7 +45,7 @@
     call.group = group;
     call.body = std::move(body);
     call.deadline = monotonic_now() + timeout;
-    call.only = node;
+    call.target_node = node;
     call.handler = std::move(handler);
     post(
         [this, call = std::move(call)]() mutable
@@ -82,7 +82,7 @@
 };
 } // namespace
 
-reply_body process_core::ask(group_id group, call_body body, milliseconds timeout)
+reply_body process_core::call_and_wait(group_id group, call_body body, milliseconds timeout)
 {
     auto slot = std::make_shared<reply_slot>();
     call(group, std::move(body), timeout,
@@ -106,17 +106,17 @@
 
 void process_core::begin_call(pending_call call)
 {
-    const std::uint64_t id = m_next_call++;
-    const auto [item, fresh] = m_calls.emplace(id, std::move(call));
+    const std::uint64_t id = m_next_call_id++;
+    const auto [item, inserted] = m_calls.emplace(id, std::move(call));
     send_call(id, item->second);
 }
 
 // The leader if known, otherwise the replicas in turn.
 node_id process_core::target_of(const pending_call& call) const
 {
-    if (call.only)
+    if (call.target_node)
     {
-        return *call.only;
+        return *call.target_node;
     }
     const auto own = m_groups.find(call.group);
     const node_id known = own == m_groups.end() ? node_id{} : own->second.group->core().leader().node;
@@ -177,14 +177,14 @@
         return;
     }
     pending_call& call = found->second;
-    const auto* elsewhere = std::get_if<not_here_reply>(&reply);
+    const auto* call_error = std::get_if<not_here_reply>(&reply);
     const bool not_leader =
-        elsewhere != nullptr && elsewhere->code == static_cast<int>(node_code::not_leader);
-    if (not_leader && !call.only && monotonic_now() < call.deadline)
+        call_error != nullptr && call_error->code == static_cast<int>(node_code::not_leader);
+    if (not_leader && !call.target_node && monotonic_now() < call.deadline)
     {
-        m_leader_hints[call.group] = elsewhere->leader;
+        m_leader_hints[call.group] = call_error->leader;
         call.waiting = false;
-        call.retry_at = monotonic_now() + (call.attempt <= 2 ? milliseconds(0) : retry_pause);
+        call.retry_at = monotonic_now() + (call.attempt <= 2 ? milliseconds(0) : redirect_retry_delay);
         return;
     }
     auto node = m_calls.extract(found);
@@ -197,7 +197,7 @@
 bool process_core::has_moved(const pending_call& call) const
 {
     const auto own = m_groups.find(call.group);
-    if (call.only || !call.waiting || own == m_groups.end())
+    if (call.target_node || !call.waiting || own == m_groups.end())
     {
         return false;
     }
@@ -207,27 +207,27 @@
 
 void process_core::retry_calls(monotonic_time now)
 {
-    std::vector<std::uint64_t> over;
-    std::vector<std::uint64_t> again;
+    std::vector<std::uint64_t> expired_calls;
+    std::vector<std::uint64_t> calls_to_resend;
     for (const auto& [id, call] : m_calls)
     {
         if (now >= call.deadline)
         {
-            over.push_back(id);
+            expired_calls.push_back(id);
         }
         else if (now >= call.retry_at || has_moved(call))
         {
-            again.push_back(id);
+            calls_to_resend.push_back(id);
         }
     }
-    for (const std::uint64_t id : over)
+    for (const std::uint64_t id : expired_calls)
     {
         auto node = m_calls.extract(id);
-        const bool open = node.mapped().waiting;
-        const node_code code = open ? node_code::timed_out : node_code::no_leader;
+        const bool reply_pending = node.mapped().waiting;
+        const node_code code = reply_pending ? node_code::timed_out : node_code::no_leader;
         node.mapped().handler(not_here_reply{{}, static_cast<int>(code), "No reply before the timeout."});
     }
-    for (const std::uint64_t id : again)
+    for (const std::uint64_t id : calls_to_resend)
     {
         const auto found = m_calls.find(id);
         if (found != m_calls.end())
--- a/src/node/documents.cpp
+++ b/src/node/documents.cpp
@@ -13,7 +13,7 @@
 
 namespace
 {
-const char* word_for(task_phase phase)
+const char* display_name(task_phase phase)
 {
     switch (phase)
     {
@@ -31,7 +31,7 @@
     return "?";
 }
 
-const char* word_for(stop_reason reason)
+const char* display_name(stop_reason reason)
 {
     switch (reason)
     {
@@ -51,7 +51,7 @@
     return "?";
 }
 
-const char* word_for(worker_phase phase)
+const char* display_name(worker_phase phase)
 {
     switch (phase)
     {
@@ -69,7 +69,7 @@
     return "?";
 }
 
-const char* word_for(replica_role role)
+const char* display_name(replica_role role)
 {
     switch (role)
     {
@@ -131,14 +131,14 @@
 
 json to_json(const task_record& task, std::uint32_t index)
 {
-    json out{{"task", index}, {"state", word_for(task.state())}, {"run", task.run}};
+    json out{{"task", index}, {"state", display_name(task.state())}, {"run", task.run}};
     if (task.on_host())
     {
         out["host"] = task.worker.value();
     }
     if (task.reason != 0)
     {
-        out["stopped_because"] = word_for(static_cast<stop_reason>(task.reason));
+        out["stopped_because"] = display_name(static_cast<stop_reason>(task.reason));
     }
     return out;
 }
@@ -213,7 +213,7 @@
                            {"hall", state.hall().value()},
                            {"rack", worker.rack.value()},
                            {"address", worker.address},
-                           {"state", worker.draining ? "draining" : word_for(worker.state())},
+                           {"state", worker.draining ? "draining" : display_name(worker.state())},
                            {"size", to_json(worker.size)},
                            {"reserved", to_json(worker.reserved)},
                            {"tasks", worker.tasks.size()}});
@@ -240,7 +240,7 @@
     {
         learners.push_back(to_json(item.id));
     }
-    return json{{"role", word_for(core.role())},
+    return json{{"role", display_name(core.role())},
                 {"leader", core.leader().node.value()},
                 {"term", core.term().value()},
                 {"committed", core.commit_index().value()},
@@ -274,16 +274,16 @@
 std::string templates_document(const root_state& state, organisation_id organisation)
 {
     json out = json::array();
-    for (const auto& [key, shape] : state.templates())
+    for (const auto& [key, stored_template] : state.templates())
     {
         if (key.first == organisation)
         {
-            out.push_back({{"name", shape.name},
-                           {"kind", to_string(shape.workload())},
-                           {"repeatable", shape.repeatable},
-                           {"version", shape.version.value()},
-                           {"defaults", to_json(shape.defaults)},
-                           {"limits", to_json(shape.limits)}});
+            out.push_back({{"name", stored_template.name},
+                           {"kind", to_string(stored_template.workload())},
+                           {"repeatable", stored_template.repeatable},
+                           {"version", stored_template.version.value()},
+                           {"defaults", to_json(stored_template.defaults)},
+                           {"limits", to_json(stored_template.limits)}});
         }
     }
     return out.dump();
@@ -305,8 +305,8 @@
             {
                 halls.push_back(part.hall.value());
             }
-            const bool over = jobs == &state.ended_jobs();
-            const auto outcome = over ? static_cast<job_outcome>(job.outcome) : job_outcome::running;
+            const bool has_ended = jobs == &state.ended_jobs();
+            const auto outcome = has_ended ? static_cast<job_outcome>(job.outcome) : job_outcome::running;
             out.push_back({{"job", id.value()},
                            {"configuration", job.spec.name},
                            {"version", job.spec.version.value()},
--- a/src/node/documents_parse.cpp
+++ b/src/node/documents_parse.cpp
@@ -19,8 +19,8 @@
 constexpr std::int64_t max_accelerators = 64;
 constexpr std::int64_t max_tasks = 100'000;
 constexpr std::int64_t max_run_seconds = 31LL * 24 * 3600;
-constexpr std::size_t max_name = 64;
-constexpr std::size_t max_request_id = 128;
+constexpr std::size_t max_name_bytes = 64;
+constexpr std::size_t max_request_id_bytes = 128;
 constexpr std::size_t max_jobs_in_one_call = 20'000;
 constexpr std::size_t max_runs = 1024;
 
@@ -40,7 +40,8 @@
     {
         return m_object.is_object() && m_object.contains(key);
     }
-    std::int64_t integer(const char* key, std::int64_t fallback, std::int64_t least, std::int64_t most)
+    std::int64_t integer(const char* key, std::int64_t fallback, std::int64_t min_value,
+                         std::int64_t max_value)
     {
         if (!has(key))
         {
@@ -49,14 +50,15 @@
         const json& value = m_object.at(key);
         const bool fits_type =
             value.is_number_unsigned() ? value.get<std::uint64_t>() <= INT64_MAX : value.is_number_integer();
-        if (!fits_type || value.get<std::int64_t>() < least || value.get<std::int64_t>() > most)
+        if (!fits_type || value.get<std::int64_t>() < min_value || value.get<std::int64_t>() > max_value)
         {
-            fail(key, "must be a whole number from " + std::to_string(least) + " to " + std::to_string(most));
+            fail(key, "must be a whole number from " + std::to_string(min_value) + " to " +
+                          std::to_string(max_value));
             return fallback;
         }
         return value.get<std::int64_t>();
     }
-    std::string text(const char* key, std::size_t longest, bool required)
+    std::string text(const char* key, std::size_t max_bytes, bool required)
     {
         if (!has(key) || !m_object.at(key).is_string())
         {
@@ -67,9 +69,9 @@
             return {};
         }
         auto value = m_object.at(key).get<std::string>();
-        if (value.size() > longest || (required && value.empty()))
+        if (value.size() > max_bytes || (required && value.empty()))
         {
-            fail(key, "must have 1 to " + std::to_string(longest) + " bytes");
+            fail(key, "must have 1 to " + std::to_string(max_bytes) + " bytes");
             return {};
         }
         return value;
@@ -159,7 +161,7 @@
     error = error.empty() ? reader.error() : error;
 }
 
-std::uint8_t given_in(const json& from)
+std::uint8_t given_parameters(const json& from)
 {
     constexpr std::pair<const char*, parameter_field> fields[] = {
         {"cpu_millicores", parameter_field::cpu},
@@ -177,7 +179,7 @@
     return given;
 }
 
-bool read_run(const std::string& text, run_id& out)
+bool parse_run_id(const std::string& text, run_id& out)
 {
     std::uint64_t job = 0;
     const char* end = text.data() + text.size();
@@ -196,7 +198,7 @@
     return third.ec == std::errc{} && third.ptr == end;
 }
 
-std::optional<run_event> read_event(const std::string& word)
+std::optional<run_event> parse_run_event(const std::string& word)
 {
     constexpr std::pair<const char*, run_event> words[] = {
         {"accepted", run_event::accepted},   {"started", run_event::started},
@@ -228,8 +230,8 @@
     {
         object_reader reader(item);
         run_status status;
-        const std::optional<run_event> event = read_event(reader.text("state", max_name, true));
-        if (!read_run(reader.text("run", max_name, true), status.run) || !event)
+        const std::optional<run_event> event = parse_run_event(reader.text("state", max_name_bytes, true));
+        if (!parse_run_id(reader.text("run", max_name_bytes, true), status.run) || !event)
         {
             body.fail("runs", "must have entries with a run as job/task/number and a known state");
             return;
@@ -262,8 +264,8 @@
     object_reader reader(body);
     reader.check_keys({"request_id", "kind", "repeatable", "defaults", "limits"});
     put_template out;
-    out.request_id = reader.text("request_id", max_request_id, true);
-    const std::string kind = reader.text("kind", max_name, true);
+    out.request_id = reader.text("request_id", max_request_id_bytes, true);
+    const std::string kind = reader.text("kind", max_name_bytes, true);
     constexpr workload_kind kinds[] = {workload_kind::service, workload_kind::batch, workload_kind::gang};
     const auto found = std::find_if(std::begin(kinds), std::end(kinds),
                                     [&](auto k)
@@ -301,15 +303,15 @@
     object_reader reader(body);
     reader.check_keys({"request_id", "expected_version", "template", "team", "parameters"});
     put_configuration out;
-    out.request_id = reader.text("request_id", max_request_id, true);
+    out.request_id = reader.text("request_id", max_request_id_bytes, true);
     out.expected =
         version_id{static_cast<std::uint64_t>(reader.integer("expected_version", 0, 0, INT64_MAX))};
-    out.template_name = reader.text("template", max_name, true);
-    out.team = reader.text("team", max_name, false);
+    out.template_name = reader.text("template", max_name_bytes, true);
+    out.team = reader.text("team", max_name_bytes, false);
     std::string error = reader.error();
     const json& given = reader.child("parameters");
     read_parameters(config, given, out.values, error);
-    out.given = given_in(given);
+    out.given = given_parameters(given);
     if (!error.empty())
     {
         return error;
@@ -327,11 +329,11 @@
     object_reader reader(body);
     reader.check_keys({"request_id", "cpu_millicores", "memory_mib", "accelerators"});
     put_team out;
-    out.request_id = reader.text("request_id", max_request_id, true);
-    constexpr std::int64_t pool = 1'000'000;
-    out.quota.cpu = reader.integer("cpu_millicores", 0, 0, max_cpu * pool);
-    out.quota.memory = reader.integer("memory_mib", 0, 0, max_memory * pool);
-    out.quota.accelerators = static_cast<std::int32_t>(reader.integer("accelerators", 0, 0, pool));
+    out.request_id = reader.text("request_id", max_request_id_bytes, true);
+    constexpr std::int64_t max_quota_hosts = 1'000'000;
+    out.quota.cpu = reader.integer("cpu_millicores", 0, 0, max_cpu * max_quota_hosts);
+    out.quota.memory = reader.integer("memory_mib", 0, 0, max_memory * max_quota_hosts);
+    out.quota.accelerators = static_cast<std::int32_t>(reader.integer("accelerators", 0, 0, max_quota_hosts));
     if (!reader.error().empty())
     {
         return reader.error();
@@ -349,14 +351,14 @@
     object_reader reader(body);
     reader.check_keys({"request_id", "jobs"});
     cancel_jobs out;
-    out.request_id = reader.text("request_id", max_request_id, true);
+    out.request_id = reader.text("request_id", max_request_id_bytes, true);
     const json& jobs = reader.child("jobs");
-    const auto whole = [](const json& j)
+    const auto is_job_number = [](const json& j)
     {
         return j.is_number_unsigned();
     };
     if (!jobs.is_array() || jobs.size() > max_jobs_in_one_call ||
-        !std::all_of(jobs.begin(), jobs.end(), whole))
+        !std::all_of(jobs.begin(), jobs.end(), is_job_number))
     {
         reader.fail("jobs", "must be a list of at most 20000 job numbers");
     }
@@ -385,17 +387,18 @@
     out.worker = worker_id{static_cast<std::uint32_t>(reader.integer("worker", 0, 0, UINT32_MAX))};
     out.epoch = epoch_id{static_cast<std::uint32_t>(reader.integer("epoch", 0, 0, UINT32_MAX))};
     out.wait_ms = reader.integer("wait_ms", 0, 0, 60'000);
-    out.about.worker = out.worker;
-    out.about.previous = epoch_id{static_cast<std::uint32_t>(reader.integer("previous", 0, 0, UINT32_MAX))};
-    out.about.rack = rack_id{static_cast<std::uint32_t>(reader.integer("rack", 0, 0, UINT32_MAX))};
-    out.about.address = reader.text("address", max_name, false);
-    out.about.port = static_cast<std::uint16_t>(reader.integer("port", 0, 0, UINT16_MAX));
+    out.registration.worker = out.worker;
+    out.registration.previous =
+        epoch_id{static_cast<std::uint32_t>(reader.integer("previous", 0, 0, UINT32_MAX))};
+    out.registration.rack = rack_id{static_cast<std::uint32_t>(reader.integer("rack", 0, 0, UINT32_MAX))};
+    out.registration.address = reader.text("address", max_name_bytes, false);
+    out.registration.port = static_cast<std::uint16_t>(reader.integer("port", 0, 0, UINT16_MAX));
     object_reader size(reader.child("size"));
-    out.about.size.cpu = size.integer("cpu_millicores", 0, 0, max_cpu);
-    out.about.size.memory = size.integer("memory_mib", 0, 0, max_memory);
-    out.about.size.accelerators =
+    out.registration.size.cpu = size.integer("cpu_millicores", 0, 0, max_cpu);
+    out.registration.size.memory = size.integer("memory_mib", 0, 0, max_memory);
+    out.registration.size.accelerators =
         static_cast<std::int32_t>(size.integer("accelerators", 0, 0, max_accelerators));
-    out.about.size.slots = static_cast<std::int32_t>(size.integer("slots", 0, 0, max_tasks));
+    out.registration.size.slots = static_cast<std::int32_t>(size.integer("slots", 0, 0, max_tasks));
     if (out.worker.value() == 0)
     {
         reader.fail("worker", "must be a positive number");
--- a/src/node/endpoint_feed.cpp
+++ b/src/node/endpoint_feed.cpp
@@ -21,7 +21,7 @@
     m_root.on_change(
         [this]
         {
-            take_services();
+            update_services();
         });
     m_core.add_ticker(
         [this](monotonic_time now, wall_ms)
@@ -48,22 +48,22 @@
     hall_progress& progress = m_progress.at(hall);
     const milliseconds interval = m_core.config().timing.feed;
     progress.next = monotonic_now() + interval;
-    if (progress.asking)
+    if (progress.in_flight)
     {
-        progress.ask_again = true;
+        progress.refresh_again = true;
         return;
     }
-    progress.asking = true;
-    const monotonic_time asked = monotonic_now();
-    const auto answered = [this, hall, asked](const reply_body& reply)
+    progress.in_flight = true;
+    const monotonic_time sent_at = monotonic_now();
+    const auto answered = [this, hall, sent_at](const reply_body& reply)
     {
         hall_progress& p = m_progress.at(hall);
-        p.asking = false;
-        if (const auto* news = std::get_if<endpoints_reply>(&reply))
+        p.in_flight = false;
+        if (const auto* update = std::get_if<endpoints_reply>(&reply))
         {
-            take(hall, asked, *news);
+            apply_update(hall, sent_at, *update);
         }
-        if (std::exchange(p.ask_again, false))
+        if (std::exchange(p.refresh_again, false))
         {
             refresh(hall);
         }
@@ -71,13 +71,13 @@
     m_core.call(group_of(hall), endpoints_call{progress.term, progress.revision}, interval * 2, answered);
 }
 
-void endpoint_feed::take(hall_id hall, monotonic_time asked, const endpoints_reply& reply)
+void endpoint_feed::apply_update(hall_id hall, monotonic_time sent_at, const endpoints_reply& reply)
 {
     hall_progress& progress = m_progress.at(hall);
     progress.term = reply.term;
     progress.revision = reply.revision;
     const std::scoped_lock lock(m_mutex);
-    if (reply.everything)
+    if (reply.is_full)
     {
         m_directory.clear(hall);
     }
@@ -85,22 +85,23 @@
     {
         m_directory.set(hall, service);
     }
-    m_directory.confirm(hall, asked);
+    m_directory.confirm(hall, sent_at);
 }
 
 // A service exists while its configuration exists and is not withdrawn. Its endpoints are reported by the
 // halls.
-void endpoint_feed::take_services()
+void endpoint_feed::update_services()
 {
     std::map<endpoint_directory::service_key, service_view> services;
     for (const auto& [key, config] : m_root.state().configurations())
     {
-        const auto shape = m_root.state().templates().find({key.first, config.template_name});
-        const bool service = shape != m_root.state().templates().end() &&
-                             shape->second.workload() == workload_kind::service && !config.withdrawn;
+        const auto stored_template = m_root.state().templates().find({key.first, config.template_name});
+        const bool service = stored_template != m_root.state().templates().end() &&
+                             stored_template->second.workload() == workload_kind::service &&
+                             !config.withdrawn;
         if (service)
         {
-            services[key] = service_view{shape->second.repeatable};
+            services[key] = service_view{stored_template->second.repeatable};
         }
     }
     const std::scoped_lock lock(m_mutex);
--- a/src/node/exchange.cpp
+++ b/src/node/exchange.cpp
@@ -9,7 +9,7 @@
 
 namespace
 {
-constexpr std::size_t max_idle = 8;
+constexpr std::size_t max_idle_connections = 8;
 constexpr duration max_idle_time = seconds(4);
 constexpr milliseconds connect_timeout{1000};
 
@@ -25,16 +25,16 @@
            error == httplib::Error::BindIPAddress;
 }
 
-exchange_end judge(const httplib::Result& result, const exchange_request& request)
+exchange_end classify(const httplib::Result& result, const exchange_request& request)
 {
     if (!result)
     {
         return never_sent(result.error()) ? exchange_end::not_sent : exchange_end::broken;
     }
-    const bool own =
+    const bool names_attempt =
         result->get_header_value("X-Walkthread-Attempt") == std::to_string(request.attempt.value());
-    const bool sized = result->has_header("Content-Length");
-    if (!own || !sized)
+    const bool has_length = result->has_header("Content-Length");
+    if (!names_attempt || !has_length)
     {
         return exchange_end::broken;
     }
@@ -55,8 +55,8 @@
 endpoint_connections::endpoint_connections() = default;
 endpoint_connections::~endpoint_connections() = default;
 
-std::unique_ptr<endpoint_connections::connection> endpoint_connections::take(const endpoint& to,
-                                                                             const exchange_request& request)
+std::unique_ptr<endpoint_connections::connection>
+endpoint_connections::acquire(const endpoint& to, const exchange_request& request)
 {
     if (!request.fresh_connection)
     {
@@ -79,12 +79,12 @@
     return fresh;
 }
 
-void endpoint_connections::keep(const endpoint& to, std::unique_ptr<connection> used)
+void endpoint_connections::return_to_pool(const endpoint& to, std::unique_ptr<connection> used)
 {
     used->used_at = monotonic_now();
     const std::scoped_lock lock(m_mutex);
     auto& idle = m_idle[address_of(to)];
-    if (idle.size() < max_idle)
+    if (idle.size() < max_idle_connections)
     {
         idle.push_back(std::move(used));
     }
@@ -92,15 +92,15 @@
 
 exchange_result endpoint_connections::run(const endpoint& to, const exchange_request& request)
 {
-    std::unique_ptr<connection> line = take(to, request);
-    line->client.set_read_timeout(request.timeout);
-    line->client.set_write_timeout(request.timeout);
+    std::unique_ptr<connection> pooled = acquire(to, request);
+    pooled->client.set_read_timeout(request.timeout);
+    pooled->client.set_write_timeout(request.timeout);
     const httplib::Headers headers{{"X-Walkthread-Attempt", std::to_string(request.attempt.value())},
                                    {"X-Walkthread-Run", to_string(to.run)}};
-    const httplib::Result result = line->client.Post("/v1/exchange/" + request.service, headers, request.body,
-                                                     "application/octet-stream");
+    const httplib::Result result = pooled->client.Post("/v1/exchange/" + request.service, headers,
+                                                       request.body, "application/octet-stream");
     exchange_result out;
-    out.end = judge(result, request);
+    out.end = classify(result, request);
     if (out.end == exchange_end::whole_answer)
     {
         out.status = result->status;
@@ -108,7 +108,7 @@
         out.content_type = result->get_header_value("Content-Type");
         if (!request.fresh_connection)
         {
-            keep(to, std::move(line));
+            return_to_pool(to, std::move(pooled));
         }
     }
     return out;
--- a/src/node/hall_events.cpp
+++ b/src/node/hall_events.cpp
@@ -11,7 +11,7 @@
 {
 constexpr double ms_per_second = 1000.0;
 
-const char* word_for(run_event event)
+const char* display_name(run_event event)
 {
     switch (event)
     {
@@ -55,15 +55,15 @@
     }
     else if (const auto* lost = std::get_if<lose_workers>(&command))
     {
-        for (const worker_epoch& gone : lost->workers)
+        for (const worker_epoch& lost_worker : lost->workers)
         {
-            m_log->warn("Worker {} is lost: its lease expired.", gone.worker.value());
-            add_event(event_kind::worker_lost, nullptr, gone.worker, "Its lease expired.");
+            m_log->warn("Worker {} is lost: its lease expired.", lost_worker.worker.value());
+            add_event(event_kind::worker_lost, nullptr, lost_worker.worker, "Its lease expired.");
         }
     }
-    else if (const auto* fresh = std::get_if<register_worker>(&command))
+    else if (const auto* registration = std::get_if<register_worker>(&command))
     {
-        add_event(event_kind::worker_registered, nullptr, fresh->worker, fresh->address);
+        add_event(event_kind::worker_registered, nullptr, registration->worker, registration->address);
     }
     else if (const auto* drained = std::get_if<drain_workers>(&command))
     {
@@ -119,7 +119,7 @@
         const auto event = static_cast<run_event>(report.event);
         const bool started = event == run_event::started;
         add_event(started ? event_kind::task_started : event_kind::task_ended, &job->second,
-                  report.from.worker, to_string(report.run) + ' ' + word_for(event));
+                  report.from.worker, to_string(report.run) + ' ' + display_name(event));
         if (started)
         {
             const double waited = static_cast<double>(at - job->second.spec.submitted) / ms_per_second;
--- a/src/node/hall_renewals.cpp
+++ b/src/node/hall_renewals.cpp
@@ -24,7 +24,7 @@
 {
     const monotonic_time now = monotonic_now();
     m_core.counters().renewals.Increment();
-    if (!m_leading->leases.may_grant(call.worker))
+    if (!m_leader_state->leases.may_grant(call.worker))
     {
         handler(
             not_here_reply{{}, static_cast<int>(node_code::overloaded), "The worker's lease has expired."});
@@ -45,18 +45,18 @@
         handler(std::move(reply));
         return;
     }
-    take_statuses(found->second, call, now);
+    process_statuses(found->second, call, now);
     renew_reply orders = orders_for(found->second, call.runs, now);
-    if (has_news(orders) || call.wait_ms <= 0)
+    if (has_orders(orders) || call.wait_ms <= 0)
     {
-        m_leading->leases.granted(call.worker, now);
+        m_leader_state->leases.granted(call.worker, now);
         handler(std::move(orders));
         return;
     }
-    const auto parked = m_parked.find(call.worker);
-    if (parked != m_parked.end())
+    const auto deferred = m_parked.find(call.worker);
+    if (deferred != m_parked.end())
     {
-        parked->second.handler(renew_reply{false, call.epoch, 0, {}, {}, {}, {}});
+        deferred->second.handler(renew_reply{false, call.epoch, 0, {}, {}, {}, {}});
     }
     m_parked[call.worker] = parked_renewal{handler, now + milliseconds(call.wait_ms), call.runs};
 }
@@ -65,14 +65,14 @@
 {
     m_parked.erase(call.worker);
     const std::int64_t lease = m_core.config().timing.worker_lease.count();
-    register_worker command = call.about;
+    register_worker command = call.registration;
     command.unsent = withdraw_untold(call.worker);
     propose(command,
             [this, handler, lease, command](bool committed, const hall_result& answer)
             {
                 end_withdrawal(command.unsent);
                 const monotonic_time now = monotonic_now();
-                if (!committed || !m_leading || !m_core.leads(group_of(m_hall), now))
+                if (!committed || !m_leader_state || !m_core.leads(group_of(m_hall), now))
                 {
                     handler(not_here_reply{
                         {}, static_cast<int>(node_code::not_leader), "The hall's leader has changed."});
@@ -84,7 +84,7 @@
                         {}, answer.code, "Another epoch of this worker may still hold a lease."});
                     return;
                 }
-                m_leading->leases.granted(command.worker, now);
+                m_leader_state->leases.granted(command.worker, now);
                 renew_reply reply;
                 reply.epoch = answer.epoch;
                 reply.lease_ms = lease;
@@ -96,15 +96,15 @@
 // Status reports from workers
 // ---------------------------------------------------------------------------------------------------------
 
-void hall_service::take_statuses(const worker_record& worker, const renew_call& call, monotonic_time now)
+void hall_service::process_statuses(const worker_record& worker, const renew_call& call, monotonic_time now)
 {
     for (const run_status& status : call.runs)
     {
-        take_status(worker, status, now);
+        process_status(worker, status, now);
     }
 }
 
-void hall_service::take_status(const worker_record& worker, const run_status& status, monotonic_time now)
+void hall_service::process_status(const worker_record& worker, const run_status& status, monotonic_time now)
 {
     const auto found = m_state.jobs().find(status.run.task.job);
     if (found == m_state.jobs().end() || status.run.task.index >= found->second.tasks.size())
@@ -113,36 +113,36 @@
     }
     const hall_job& job = found->second;
     const task_record& task = job.tasks[status.run.task.index];
-    const bool present = task.on_host() && task.run == status.run.run && task.worker == worker.id;
-    if (!present)
+    const bool is_current_run = task.on_host() && task.run == status.run.run && task.worker == worker.id;
+    if (!is_current_run)
     {
         return;
     }
     const bool started = static_cast<run_event>(status.event) == run_event::started;
-    const bool news = ends_run(status.event) || (started && task.state() == task_phase::placed);
-    if (news && m_leading->reported.emplace(status.run, status.event).second)
+    const bool must_report = ends_run(status.event) || (started && task.state() == task_phase::placed);
+    if (must_report && m_leader_state->reported.emplace(status.run, status.event).second)
     {
-        m_leading->reports.push_back({status.run, {worker.id, worker.epoch}, status.event, status.port});
+        m_leader_state->reports.push_back({status.run, {worker.id, worker.epoch}, status.event, status.port});
     }
-    judge_usage(status, job, now);
+    check_usage(status, job, now);
 }
 
-void hall_service::judge_usage(const run_status& status, const hall_job& job, monotonic_time now)
+void hall_service::check_usage(const run_status& status, const hall_job& job, monotonic_time now)
 {
     if (ends_run(status.event))
     {
-        m_leading->usage.forget(status.run.task);
-        m_leading->over_size.erase(status.run);
+        m_leader_state->usage.forget(status.run.task);
+        m_leader_state->runs_to_throttle.erase(status.run);
         return;
     }
     const resources& declared = job.spec.values.size;
-    const usage_verdict verdict =
-        m_leading->usage.evaluate(status.run, declared, status.cpu, status.memory, now);
-    if (verdict == usage_verdict::throttle)
+    const usage_verdict action =
+        m_leader_state->usage.evaluate(status.run, declared, status.cpu, status.memory, now);
+    if (action == usage_verdict::throttle)
     {
-        m_leading->over_size.insert(status.run);
+        m_leader_state->runs_to_throttle.insert(status.run);
     }
-    if (verdict == usage_verdict::stop && !status.stopping)
+    if (action == usage_verdict::stop && !status.stopping)
     {
         const auto reason = static_cast<std::uint8_t>(stop_reason::overused);
         propose(stop_runs{{{status.run, reason}}}, [](bool, const hall_result&) {});
@@ -151,20 +151,20 @@
 
 void hall_service::flush_reports()
 {
-    while (!m_leading->reports.empty())
+    while (!m_leader_state->reports.empty())
     {
-        const std::size_t count = std::min(m_leading->reports.size(), reports_per_entry);
-        const auto last = m_leading->reports.begin() + static_cast<std::ptrdiff_t>(count);
-        report_runs entry{{m_leading->reports.begin(), last}};
-        m_leading->reports.erase(m_leading->reports.begin(), last);
+        const std::size_t count = std::min(m_leader_state->reports.size(), reports_per_entry);
+        const auto last = m_leader_state->reports.begin() + static_cast<std::ptrdiff_t>(count);
+        report_runs entry{{m_leader_state->reports.begin(), last}};
+        m_leader_state->reports.erase(m_leader_state->reports.begin(), last);
         propose(entry,
                 [this, entry](bool, const hall_result&)
                 {
                     for (const run_report& report : entry.reports)
                     {
-                        if (m_leading)
+                        if (m_leader_state)
                         {
-                            m_leading->reported.erase({report.run, report.event});
+                            m_leader_state->reported.erase({report.run, report.event});
                         }
                     }
                 });
@@ -175,7 +175,7 @@
 // Orders to workers
 // ---------------------------------------------------------------------------------------------------------
 
-bool hall_service::has_news(const renew_reply& reply)
+bool hall_service::has_orders(const renew_reply& reply)
 {
     return !reply.start.empty() || !reply.halt.empty() || !reply.throttle.empty() || !reply.forget.empty();
 }
@@ -186,11 +186,11 @@
     renew_reply reply;
     reply.epoch = worker.epoch;
     reply.lease_ms = m_core.config().timing.worker_lease.count();
-    std::set<run_id> told;
+    std::set<run_id> known_to_worker;
     std::set<run_id> stopping;
     for (const run_status& status : runs)
     {
-        told.insert(status.run);
+        known_to_worker.insert(status.run);
         if (status.stopping)
         {
             stopping.insert(status.run);
@@ -202,7 +202,7 @@
         const run_id run{id, m_state.jobs().at(id.job).tasks[id.index].run};
         if (!stopping.contains(run))
         {
-            add_order(id, told.contains(run), now, reply);
+            add_order(id, known_to_worker.contains(run), now, reply);
         }
     }
     return reply;
@@ -215,27 +215,27 @@
     const auto job = m_state.jobs().find(status.run.task.job);
     const bool known = job != m_state.jobs().end() && status.run.task.index < job->second.tasks.size();
     const task_record* task = known ? &job->second.tasks[status.run.task.index] : nullptr;
-    const bool present =
+    const bool is_current_run =
         task != nullptr && task->on_host() && task->run == status.run.run && task->worker == worker.id;
     if (ends_run(status.event))
     {
-        if (!present)
+        if (!is_current_run)
         {
             reply.forget.push_back(status.run);
         }
     }
-    else if (!present && !status.stopping)
+    else if (!is_current_run && !status.stopping)
     {
         reply.halt.push_back({status.run, false});
     }
-    else if (!status.throttled && m_leading->over_size.contains(status.run))
+    else if (!status.throttled && m_leader_state->runs_to_throttle.contains(status.run))
     {
         reply.throttle.push_back(status.run);
     }
 }
 
 // Adds the orders for a task that is placed on the worker.
-void hall_service::add_order(const task_id& id, bool told, monotonic_time now, renew_reply& reply)
+void hall_service::add_order(const task_id& id, bool known_to_worker, monotonic_time now, renew_reply& reply)
 {
     const hall_job& job = m_state.jobs().at(id.job);
     const task_record& task = job.tasks[id.index];
@@ -248,15 +248,16 @@
             reply.halt.push_back(*order);
         }
     }
-    else if (task.state() == task_phase::placed && !told && !m_leading->withdrawn.contains(run))
+    else if (task.state() == task_phase::placed && !known_to_worker &&
+             !m_leader_state->withdrawn.contains(run))
     {
-        m_leading->start_sent.insert(run);
+        m_leader_state->start_sent.insert(run);
         const auto& organisations = m_core.config().organisations;
         const std::string& organisation = organisations.at(job.spec.organisation.value() - 1U).name;
         reply.start.push_back({run, job.spec.name, organisation, job.spec.kind, job.spec.values.size,
                                job.spec.values.run_seconds, task.checkpointed});
     }
-    else if (task.state() == task_phase::running && !told)
+    else if (task.state() == task_phase::running && !known_to_worker)
     {
         reply.halt.push_back({run, false}); // the worker no longer knows the run and will report it as ended
     }
@@ -274,7 +275,7 @@
         return halt_order{run, job.spec.repeatable &&
                                    task.reason != static_cast<std::uint8_t>(stop_reason::cancelled)};
     }
-    const auto [seen, fresh] = m_leading->stop_seen.emplace(run, now);
+    const auto [seen, inserted] = m_leader_state->stop_first_seen.emplace(run, now);
     const timing_settings& timing = m_core.config().timing;
     const duration grace = timing.service_drain + timing.feed + timing.request;
     if (now - seen->second < grace)
@@ -286,30 +287,30 @@
 
 void hall_service::answer_parked(worker_id worker, monotonic_time now)
 {
-    const auto parked = m_parked.find(worker);
-    if (parked == m_parked.end())
+    const auto deferred = m_parked.find(worker);
+    if (deferred == m_parked.end())
     {
         return;
     }
     const worker_record& record = m_state.workers().at(worker);
-    renew_reply orders = orders_for(record, parked->second.runs, now);
-    const bool holds = m_core.leads(group_of(m_hall), now) && m_leading->leases.may_grant(worker);
-    const bool due = now >= parked->second.until;
-    if (!holds || (!has_news(orders) && !due))
+    renew_reply orders = orders_for(record, deferred->second.runs, now);
+    const bool holds_lease = m_core.leads(group_of(m_hall), now) && m_leader_state->leases.may_grant(worker);
+    const bool due = now >= deferred->second.until;
+    if (!holds_lease || (!has_orders(orders) && !due))
     {
         return;
     }
-    m_leading->leases.granted(worker, now);
-    auto node = m_parked.extract(parked);
+    m_leader_state->leases.granted(worker, now);
+    auto node = m_parked.extract(deferred);
     node.mapped().handler(std::move(orders));
 }
 
 void hall_service::answer_due(monotonic_time now)
 {
     std::vector<worker_id> due;
-    for (const auto& [worker, parked] : m_parked)
+    for (const auto& [worker, deferred] : m_parked)
     {
-        if (now >= parked.until)
+        if (now >= deferred.until)
         {
             due.push_back(worker);
         }
@@ -318,7 +319,7 @@
     {
         answer_parked(worker, now);
     }
-    std::erase_if(m_leading->stop_seen,
+    std::erase_if(m_leader_state->stop_first_seen,
                   [this](const auto& item)
                   {
                       const auto job = m_state.jobs().find(item.first.task.job);
--- a/src/node/hall_root.cpp
+++ b/src/node/hall_root.cpp
@@ -19,21 +19,21 @@
 void hall_service::reconcile_with_root()
 {
     const bool stale = m_root.applied() < m_state.root_seen();
-    if (!m_leading->root_changed || m_leading->reconcile_in_flight || stale)
+    if (!m_leader_state->root_changed || m_leader_state->reconcile_in_flight || stale)
     {
         return;
     }
-    m_leading->root_changed = false;
+    m_leader_state->root_changed = false;
     admit_jobs admit{m_root.applied(), {}};
     cancel_hall_jobs cancel;
     forget_jobs forget{m_root.applied(), {}};
     finish_jobs never_started;
-    const auto& wanted = m_root.state().jobs();
-    for (const auto& [id, job] : wanted)
+    const auto& root_jobs = m_root.state().jobs();
+    for (const auto& [id, job] : root_jobs)
     {
         const auto& ended = job.ended_halls;
-        const bool over_here = std::find(ended.begin(), ended.end(), m_hall) != ended.end();
-        if (job.spec.tasks_in(m_hall) == 0 || over_here || m_state.jobs().contains(id))
+        const bool ended_here = std::find(ended.begin(), ended.end(), m_hall) != ended.end();
+        if (job.spec.tasks_in(m_hall) == 0 || ended_here || m_state.jobs().contains(id))
         {
             continue;
         }
@@ -47,28 +47,28 @@
         }
         else
         {
-            m_leading->root_changed = true;
+            m_leader_state->root_changed = true;
         }
     }
     std::vector<job_id> to_report;
     for (const auto& [id, job] : m_state.jobs())
     {
-        const auto found = wanted.find(id);
-        const bool withdrawn = found == wanted.end() || found->second.cancelled;
+        const auto found = root_jobs.find(id);
+        const bool withdrawn = found == root_jobs.end() || found->second.cancelled;
         if (job.finished())
         {
-            found == wanted.end() ? forget.jobs.push_back(id) : to_report.push_back(id);
+            found == root_jobs.end() ? forget.jobs.push_back(id) : to_report.push_back(id);
         }
         else if (withdrawn && !job.cancelled)
         {
             cancel.jobs.push_back(id);
         }
     }
-    const auto done_here = [this](bool, const hall_result&)
+    const auto on_admitted = [this](bool, const hall_result&)
     {
-        if (m_leading)
+        if (m_leader_state)
         {
-            m_leading->reconcile_in_flight = false;
+            m_leader_state->reconcile_in_flight = false;
         }
     };
     if (!cancel.jobs.empty())
@@ -81,8 +81,8 @@
     }
     if (!admit.jobs.empty())
     {
-        m_leading->reconcile_in_flight = true;
-        propose(admit, done_here);
+        m_leader_state->reconcile_in_flight = true;
+        propose(admit, on_admitted);
     }
     if (!never_started.ends.empty())
     {
@@ -110,20 +110,20 @@
     m_core.call(root_group, root_call{encode(root_command{finish})}, report_timeout,
                 [this](const reply_body& reply)
                 {
-                    if (m_leading && !std::holds_alternative<root_reply>(reply))
+                    if (m_leader_state && !std::holds_alternative<root_reply>(reply))
                     {
-                        m_leading->root_changed = true; // reported again by the next reconciliation
+                        m_leader_state->root_changed = true; // reported again by the next reconciliation
                     }
                 });
 }
 
 void hall_service::send_summary(monotonic_time now)
 {
-    if (now < m_leading->next_summary)
+    if (now < m_leader_state->next_summary)
     {
         return;
     }
-    m_leading->next_summary = now + summary_interval;
+    m_leader_state->next_summary = now + summary_interval;
     hall_summary_call summary;
     summary.hall = m_hall;
     summary.capacity = m_state.capacity();
@@ -137,7 +137,7 @@
             std::max(summary.largest.accelerators, usable ? worker.size.accelerators : 0);
         summary.largest.slots = std::max(summary.largest.slots, usable ? worker.size.slots : 0);
     }
-    summary.waiting = static_cast<std::uint32_t>(m_leading->planner.waiting());
+    summary.waiting = static_cast<std::uint32_t>(m_leader_state->planner.waiting());
     m_core.call(root_group, summary, summary_interval, [](const reply_body&) {});
 }
 
--- a/src/node/hall_service.cpp
+++ b/src/node/hall_service.cpp
@@ -15,13 +15,13 @@
 namespace
 {
 constexpr double clock_drift = 0.05;
-constexpr std::size_t placements_per_entry = 512;
+constexpr std::size_t max_placements_per_entry = 512;
 constexpr std::size_t most_placed_known = 20'000; // starts per minute at the design load of a cell
 constexpr wall_ms first_probe_after = 60'000;
 constexpr std::uint32_t most_probe_doublings = 6;
 } // namespace
 
-hall_service::leading::leading(const settings& config, scheduler_settings policy)
+hall_service::leader_state::leader_state(const settings& config, scheduler_settings policy)
     : planner(std::move(policy)), leases(config.timing.worker_lease, clock_drift)
 {
 }
@@ -47,27 +47,27 @@
     {
         return m_state.load(bytes);
     };
-    group_duties duties;
-    duties.handle = [this](const call_body& body, const reply_handler& handler)
+    group_duties callbacks;
+    callbacks.handle = [this](const call_body& body, const reply_handler& handler)
     {
         handle(body, handler);
     };
-    duties.tick = [this](monotonic_time now, wall_ms wall)
+    callbacks.tick = [this](monotonic_time now, wall_ms wall)
     {
         tick(now, wall);
     };
-    duties.applied = [this]
+    callbacks.applied = [this]
     {
         applied();
     };
-    m_group = &m_core.add_group(group_of(m_hall), std::move(hooks), std::move(duties));
+    m_group = &m_core.add_group(group_of(m_hall), std::move(hooks), std::move(callbacks));
     m_root.on_change(
         [this]
         {
-            if (m_leading)
+            if (m_leader_state)
             {
-                m_leading->root_changed = true;
-                m_leading->planner.set_grants(grants());
+                m_leader_state->root_changed = true;
+                m_leader_state->planner.set_grants(grants());
             }
         });
 }
@@ -85,7 +85,7 @@
         refused.code = static_cast<int>(state_code::malformed_command);
         return encode(refused);
     }
-    if (m_leading)
+    if (m_leader_state)
     {
         note_events(at, value_of(command));
     }
@@ -95,11 +95,11 @@
 void hall_service::applied()
 {
     const hall_changes changes = m_state.take_changes();
-    if (!m_leading)
+    if (!m_leader_state)
     {
         return;
     }
-    m_leading->planner.take(changes, m_state);
+    m_leader_state->planner.take(changes, m_state);
     const monotonic_time now = monotonic_now();
     for (const job_id id : changes.jobs)
     {
@@ -108,13 +108,13 @@
             found != m_state.jobs().end() && found->second.spec.workload() == workload_kind::service;
         if (service)
         {
-            m_leading->service_revision[id] = ++m_leading->revision;
+            m_leader_state->service_revision[id] = ++m_leader_state->revision;
         }
     }
     if (changes.services != m_seen_services)
     {
         m_seen_services = changes.services;
-        m_core.announce(group_of(m_hall));
+        m_core.notify_peers(group_of(m_hall));
     }
     const std::set<worker_id> touched(changes.workers.begin(), changes.workers.end());
     for (const worker_id worker : touched)
@@ -123,7 +123,7 @@
     }
     if (!changes.ended.empty())
     {
-        m_leading->root_changed = true;
+        m_leader_state->root_changed = true;
         report_ends(changes.ended);
     }
 }
@@ -144,17 +144,17 @@
 
 void hall_service::tick(monotonic_time now, wall_ms wall)
 {
-    const bool holds = m_core.leads(group_of(m_hall), now);
-    const bool same_term = m_leading && m_leading->term == m_group->core().term();
-    if (m_leading && (m_group->core().role() != replica_role::leader || !same_term))
+    const bool holds_lease = m_core.leads(group_of(m_hall), now);
+    const bool same_term = m_leader_state && m_leader_state->term == m_group->core().term();
+    if (m_leader_state && (m_group->core().role() != replica_role::leader || !same_term))
     {
         stop_leading();
     }
-    if (!holds)
+    if (!holds_lease)
     {
         return;
     }
-    if (!m_leading)
+    if (!m_leader_state)
     {
         start_leading(now);
     }
@@ -162,16 +162,16 @@
     probe_quarantined(wall);
     flush_reports();
     reconcile_with_root();
-    make_schedule(wall);
+    schedule_waiting_tasks(wall);
     answer_due(now);
     send_summary(now);
 }
 
 void hall_service::start_leading(monotonic_time now)
 {
-    m_leading = std::make_unique<leading>(m_core.config(), policy_settings());
-    m_leading->term = m_group->core().term();
-    m_leading->planner.reset(m_state);
+    m_leader_state = std::make_unique<leader_state>(m_core.config(), policy_settings());
+    m_leader_state->term = m_group->core().term();
+    m_leader_state->planner.reset(m_state);
     std::vector<worker_id> workers;
     for (const auto& [id, worker] : m_state.workers())
     {
@@ -180,12 +180,12 @@
             workers.push_back(id);
         }
     }
-    m_leading->leases.reset(workers, now);
+    m_leader_state->leases.reset(workers, now);
     for (const auto& [id, job] : m_state.jobs())
     {
         if (job.spec.workload() == workload_kind::service)
         {
-            m_leading->service_revision[id] = m_leading->revision;
+            m_leader_state->service_revision[id] = m_leader_state->revision;
         }
     }
     m_log->info("Became leader with {} workers and {} jobs.", m_state.workers().size(),
@@ -194,10 +194,10 @@
 
 void hall_service::stop_leading()
 {
-    m_leading.reset();
-    for (auto& [worker, parked] : std::exchange(m_parked, {}))
+    m_leader_state.reset();
+    for (auto& [worker, deferred] : std::exchange(m_parked, {}))
     {
-        parked.handler(
+        deferred.handler(
             not_here_reply{{}, static_cast<int>(node_code::not_leader), "The hall's leader has changed."});
     }
     m_log->info("No longer the leader.");
@@ -231,7 +231,7 @@
 void hall_service::expire_leases(monotonic_time now)
 {
     lose_workers lost;
-    for (const worker_id id : m_leading->leases.expire(now))
+    for (const worker_id id : m_leader_state->leases.expire(now))
     {
         const auto found = m_state.workers().find(id);
         if (found != m_state.workers().end())
@@ -250,11 +250,11 @@
             [this, lost](bool committed, const hall_result&)
             {
                 end_withdrawal(lost.unsent);
-                for (const worker_epoch& gone : lost.workers)
+                for (const worker_epoch& lost_worker : lost.workers)
                 {
-                    if (committed && m_leading)
+                    if (committed && m_leader_state)
                     {
-                        m_leading->leases.forget(gone.worker);
+                        m_leader_state->leases.forget(lost_worker.worker);
                     }
                 }
             });
@@ -262,21 +262,21 @@
 
 void hall_service::remember_placed(const place_tasks& command)
 {
-    if (m_leading->placed.size() > most_placed_known)
+    if (m_leader_state->placed.size() > most_placed_known)
     {
-        const auto over = [this](const run_id& run)
+        const auto no_longer_placed = [this](const run_id& run)
         {
             const auto job = m_state.jobs().find(run.task.job);
             const bool present = job != m_state.jobs().end() && run.task.index < job->second.tasks.size();
             return !present || job->second.tasks[run.task.index].run != run.run ||
                    job->second.tasks[run.task.index].state() != task_phase::placed;
         };
-        std::erase_if(m_leading->placed, over);
-        std::erase_if(m_leading->start_sent, over);
+        std::erase_if(m_leader_state->placed, no_longer_placed);
+        std::erase_if(m_leader_state->start_sent, no_longer_placed);
     }
     for (const placement& made : command.placements)
     {
-        m_leading->placed.insert(made.run);
+        m_leader_state->placed.insert(made.run);
     }
 }
 
@@ -295,11 +295,11 @@
     {
         const task_record& task = m_state.jobs().at(id.job).tasks[id.index];
         const run_id run{id, task.run};
-        const bool unsent = m_leading->placed.contains(run) && !m_leading->start_sent.contains(run);
+        const bool unsent = m_leader_state->placed.contains(run) && !m_leader_state->start_sent.contains(run);
         if (task.state() == task_phase::placed && unsent)
         {
             out.push_back(run);
-            m_leading->withdrawn.insert(run);
+            m_leader_state->withdrawn.insert(run);
         }
     }
     return out;
@@ -309,9 +309,9 @@
 {
     for (const run_id& run : runs)
     {
-        if (m_leading)
+        if (m_leader_state)
         {
-            m_leading->withdrawn.erase(run);
+            m_leader_state->withdrawn.erase(run);
         }
     }
 }
@@ -334,42 +334,42 @@
     }
 }
 
-void hall_service::make_schedule(wall_ms wall)
+void hall_service::schedule_waiting_tasks(wall_ms wall)
 {
-    m_core.counters().tasks_waiting.Set(static_cast<double>(m_leading->planner.waiting()));
-    if (m_leading->plan_in_flight || m_leading->planner.waiting() == 0)
+    m_core.counters().tasks_waiting.Set(static_cast<double>(m_leader_state->planner.waiting()));
+    if (m_leader_state->plan_in_flight || m_leader_state->planner.waiting() == 0)
     {
         return;
     }
-    schedule plan = m_leading->planner.plan(m_state, wall, placements_per_entry);
+    schedule plan = m_leader_state->planner.plan(m_state, wall, max_placements_per_entry);
     if (plan.empty())
     {
         return;
     }
-    m_leading->plan_in_flight = true;
+    m_leader_state->plan_in_flight = true;
     m_core.counters().placements.Increment(static_cast<double>(plan.placements.size()));
     m_core.counters().preemptions.Increment(static_cast<double>(plan.stops.size()));
     if (!plan.stops.empty())
     {
         propose(stop_runs{std::move(plan.stops)}, [](bool, const hall_result&) {});
     }
-    const term_id term = m_leading->term;
+    const term_id term = m_leader_state->term;
     const place_tasks command{std::move(plan.placements)};
     propose(command,
             [this, term, command](bool committed, const hall_result& answer)
             {
-                if (!m_leading || m_leading->term != term)
+                if (!m_leader_state || m_leader_state->term != term)
                 {
                     return;
                 }
-                m_leading->plan_in_flight = false;
+                m_leader_state->plan_in_flight = false;
                 if (committed && answer.applied == command.placements.size())
                 {
                     remember_placed(command);
                 }
                 if (!committed)
                 {
-                    m_leading->planner.reset(m_state);
+                    m_leader_state->planner.reset(m_state);
                 }
             });
 }
@@ -380,7 +380,7 @@
 
 void hall_service::handle(const call_body& body, const reply_handler& handler)
 {
-    if (!m_leading)
+    if (!m_leader_state)
     {
         handler(not_here_reply{
             {}, static_cast<int>(node_code::not_leader), "The leader of the hall is not ready yet."});
@@ -396,7 +396,7 @@
     }
     else if (const auto* query = std::get_if<query_call>(&body))
     {
-        const std::optional<wait_reason> reason = m_leading->planner.reason_of(query->job);
+        const std::optional<wait_reason> reason = m_leader_state->planner.reason_of(query->job);
         handler(document_reply{hall_document(*query, m_state, reason, m_group->core())});
     }
     else if (const auto* call = std::get_if<hall_call>(&body))
@@ -446,11 +446,11 @@
 void hall_service::handle_endpoints(const endpoints_call& call, const reply_handler& handler)
 {
     endpoints_reply reply;
-    reply.term = m_leading->term;
-    reply.revision = m_leading->revision;
-    reply.everything = call.term != m_leading->term;
-    const std::uint64_t known = reply.everything ? 0 : call.revision;
-    for (const auto& [id, revision] : m_leading->service_revision)
+    reply.term = m_leader_state->term;
+    reply.revision = m_leader_state->revision;
+    reply.is_full = call.term != m_leader_state->term;
+    const std::uint64_t known = reply.is_full ? 0 : call.revision;
+    for (const auto& [id, revision] : m_leader_state->service_revision)
     {
         const auto job = m_state.jobs().find(id);
         if (revision <= known)
@@ -467,25 +467,25 @@
 
 void hall_service::take_platform_list(const std::set<worker_id>& live, const std::set<worker_id>& leaving)
 {
-    if (!m_leading)
+    if (!m_leader_state)
     {
         return;
     }
     drain_workers drain{{}, true};
-    drain_workers back{{}, false};
+    drain_workers undrain{{}, false};
     for (const auto& [id, worker] : m_state.workers())
     {
-        std::set<worker_id>& drained = m_leading->platform_drained;
+        std::set<worker_id>& drained = m_leader_state->platform_drained;
         if (leaving.contains(id) && !worker.draining && drained.insert(id).second)
         {
             drain.workers.push_back(id);
         }
         else if (live.contains(id) && worker.draining && drained.erase(id) > 0)
         {
-            back.workers.push_back(id);
+            undrain.workers.push_back(id);
         }
     }
-    for (const drain_workers& change : {drain, back})
+    for (const drain_workers& change : {drain, undrain})
     {
         if (!change.workers.empty())
         {
--- a/src/node/http_answers.cpp
+++ b/src/node/http_answers.cpp
@@ -5,9 +5,9 @@
 namespace walkthread
 {
 
-http_answer error_answer(int status, int code, const std::string& detail)
+http_response error_response(int status, int code, const std::string& detail)
 {
-    http_answer out;
+    http_response out;
     out.status = status;
     out.body = error_document(code, detail);
     if (status == http_status::unavailable)
@@ -17,14 +17,14 @@
     return out;
 }
 
-http_answer error_answer(int status, node_code code, const std::string& detail)
+http_response error_response(int status, node_code code, const std::string& detail)
 {
-    return error_answer(status, static_cast<int>(code), detail);
+    return error_response(status, static_cast<int>(code), detail);
 }
 
-http_answer plain_answer(std::string body, std::string content_type)
+http_response ok_response(std::string body, std::string content_type)
 {
-    http_answer out;
+    http_response out;
     out.body = std::move(body);
     out.content_type = std::move(content_type);
     return out;
--- a/src/node/http_host.cpp
+++ b/src/node/http_host.cpp
@@ -27,10 +27,10 @@
 }
 
 /// Thread pool with one queue of jobs.
-class worker_threads
+class thread_pool
 {
   public:
-    worker_threads(std::size_t count, bool overflow)
+    thread_pool(std::size_t count, bool overflow)
     {
         for (std::size_t i = 0; i < count; ++i)
         {
@@ -42,10 +42,10 @@
                 });
         }
     }
-    [[nodiscard]] bool offer(const std::function<void()>& job, std::size_t longest)
+    [[nodiscard]] bool try_enqueue(const std::function<void()>& job, std::size_t max_queued)
     {
         const std::scoped_lock lock(m_mutex);
-        if (m_jobs.size() >= longest)
+        if (m_jobs.size() >= max_queued)
         {
             return false;
         }
@@ -53,13 +53,13 @@
         m_changed.notify_all();
         return true;
     }
-    void wait_and_add(const std::function<void()>& job, std::size_t longest)
+    void wait_and_add(const std::function<void()>& job, std::size_t max_queued)
     {
         std::unique_lock lock(m_mutex);
         m_changed.wait(lock,
                        [&]
                        {
-                           return m_over || m_jobs.size() < longest;
+                           return m_finished || m_jobs.size() < max_queued;
                        });
         m_jobs.push_back(job);
         m_changed.notify_all();
@@ -68,7 +68,7 @@
     {
         {
             const std::scoped_lock lock(m_mutex);
-            m_over = true;
+            m_finished = true;
         }
         m_changed.notify_all();
         for (std::thread& thread : m_threads)
@@ -88,7 +88,7 @@
                 m_changed.wait(lock,
                                [this]
                                {
-                                   return m_over || !m_jobs.empty();
+                                   return m_finished || !m_jobs.empty();
                                });
                 if (m_jobs.empty())
                 {
@@ -105,7 +105,7 @@
     std::mutex m_mutex;
     std::condition_variable m_changed;
     std::deque<std::function<void()>> m_jobs;
-    bool m_over = false;
+    bool m_finished = false;
     std::vector<std::thread> m_threads;
 };
 
@@ -113,15 +113,15 @@
 class bounded_queue : public httplib::TaskQueue
 {
   public:
-    explicit bounded_queue(const http_bounds& bounds)
-        : m_longest(bounds.queue), m_main(bounds.threads, false), m_overflow(overflow_threads, true)
+    explicit bounded_queue(const http_bounds& limits)
+        : m_max_queued(limits.queue), m_main(limits.threads, false), m_overflow(overflow_threads, true)
     {
     }
     void enqueue(std::function<void()> job) override
     {
-        if (!m_main.offer(job, m_longest))
+        if (!m_main.try_enqueue(job, m_max_queued))
         {
-            m_overflow.wait_and_add(job, m_longest);
+            m_overflow.wait_and_add(job, m_max_queued);
         }
     }
     void shutdown() override
@@ -131,9 +131,9 @@
     }
 
   private:
-    std::size_t m_longest;
-    worker_threads m_main;
-    worker_threads m_overflow;
+    std::size_t m_max_queued;
+    thread_pool m_main;
+    thread_pool m_overflow;
 };
 
 http_request to_request(const httplib::Request& from)
@@ -158,7 +158,7 @@
 {
     return [handler = std::move(handler)](const httplib::Request& request, httplib::Response& response)
     {
-        const http_answer answer = handler(to_request(request));
+        const http_response answer = handler(to_request(request));
         response.status = answer.status;
         for (const auto& [key, value] : answer.headers)
         {
@@ -215,7 +215,7 @@
     std::thread thread;
 };
 
-http_host::http_host(socket_address address, const http_bounds& bounds, const std::string& certificate,
+http_host::http_host(socket_address address, const http_bounds& limits, const std::string& certificate,
                      const std::string& key)
     : m_implementation(std::make_unique<implementation>())
 {
@@ -230,15 +230,15 @@
     }
     httplib::Server& server = *m_implementation->server;
     server.set_tcp_nodelay(true);
-    server.new_task_queue = [bounds]
+    server.new_task_queue = [limits]
     {
-        return new bounded_queue(bounds);
+        return new bounded_queue(limits);
     };
-    server.set_payload_max_length(bounds.body_bytes);
-    server.set_keep_alive_timeout(static_cast<time_t>(bounds.keep_alive.count()));
+    server.set_payload_max_length(limits.body_bytes);
+    server.set_keep_alive_timeout(static_cast<time_t>(limits.keep_alive.count()));
     server.set_keep_alive_max_count(requests_per_connection);
-    server.set_read_timeout(static_cast<time_t>(bounds.read_timeout.count()));
-    server.set_write_timeout(static_cast<time_t>(bounds.read_timeout.count()));
+    server.set_read_timeout(static_cast<time_t>(limits.read_timeout.count()));
+    server.set_write_timeout(static_cast<time_t>(limits.read_timeout.count()));
     set_error_answers(server);
 }
 
@@ -269,17 +269,17 @@
 
 bool http_host::start()
 {
-    implementation& it = *m_implementation;
-    if (!it.server->is_valid() || !it.server->bind_to_port(it.address.ip.c_str(), it.address.port))
+    implementation& impl = *m_implementation;
+    if (!impl.server->is_valid() || !impl.server->bind_to_port(impl.address.ip.c_str(), impl.address.port))
     {
         return false;
     }
-    it.thread = std::thread(
-        [&it]
+    impl.thread = std::thread(
+        [&impl]
         {
-            it.server->listen_after_bind();
+            impl.server->listen_after_bind();
         });
-    while (!it.server->is_running())
+    while (!impl.server->is_running())
     {
         std::this_thread::yield();
     }
@@ -288,11 +288,11 @@
 
 void http_host::stop()
 {
-    implementation& it = *m_implementation;
-    if (it.thread.joinable())
+    implementation& impl = *m_implementation;
+    if (impl.thread.joinable())
     {
-        it.server->stop();
-        it.thread.join();
+        impl.server->stop();
+        impl.thread.join();
     }
 }
 
--- a/src/node/operator_api.cpp
+++ b/src/node/operator_api.cpp
@@ -18,14 +18,14 @@
 constexpr milliseconds query_timeout{3000};
 const std::string name_pattern = "([A-Za-z0-9][A-Za-z0-9._-]{0,63})";
 
-http_answer elsewhere_answer(const reply_body& reply)
+http_response elsewhere_answer(const reply_body& reply)
 {
-    const auto* elsewhere = std::get_if<not_here_reply>(&reply);
-    const int code = elsewhere == nullptr ? static_cast<int>(node_code::no_leader) : elsewhere->code;
-    const bool open = code == static_cast<int>(node_code::timed_out);
-    return error_answer(open ? http_status::timed_out : http_status::unavailable, code,
-                        open ? "No reply before the timeout. Resend with the same request id."
-                             : "The group has no leader at the moment.");
+    const auto* call_error = std::get_if<not_here_reply>(&reply);
+    const int code = call_error == nullptr ? static_cast<int>(node_code::no_leader) : call_error->code;
+    const bool outcome_unknown = code == static_cast<int>(node_code::timed_out);
+    return error_response(outcome_unknown ? http_status::timed_out : http_status::unavailable, code,
+                          outcome_unknown ? "No reply before the timeout. Resend with the same request id."
+                                          : "The group has no leader at the moment.");
 }
 
 int status_of(int code)
@@ -41,7 +41,7 @@
     }
 }
 
-std::uint64_t number_in(const std::map<std::string, std::string>& query, const std::string& key)
+std::uint64_t query_number(const std::map<std::string, std::string>& query, const std::string& key)
 {
     const auto found = query.find(key);
     std::uint64_t out = 0;
@@ -52,7 +52,7 @@
     return out;
 }
 
-std::string text_in(const std::map<std::string, std::string>& query, const std::string& key)
+std::string query_text(const std::map<std::string, std::string>& query, const std::string& key)
 {
     const auto found = query.find(key);
     return found == query.end() ? std::string{} : found->second;
@@ -68,14 +68,14 @@
 // Routes
 // ---------------------------------------------------------------------------------------------------------
 
-http_handler operator_api::for_operators(organisation_handler handler)
+http_handler operator_api::require_operator(organisation_handler handler)
 {
     return [this, handler = std::move(handler)](const http_request& request)
     {
-        const organisation_settings* who = m_access.operator_of(request.authorization);
-        return who == nullptr ? error_answer(http_status::unauthorised, node_code::unauthorised,
-                                             "The token is missing or wrong.")
-                              : handler(*who, request);
+        const organisation_settings* organisation = m_access.operator_of(request.authorization);
+        return organisation == nullptr ? error_response(http_status::unauthorised, node_code::unauthorised,
+                                                        "The token is missing or wrong.")
+                                       : handler(*organisation, request);
     };
 }
 
@@ -85,234 +85,237 @@
     {
         return m_access.is_admin(request.authorization)
                    ? handler(request)
-                   : error_answer(http_status::unauthorised, node_code::unauthorised,
-                                  "The token is missing or wrong.");
+                   : error_response(http_status::unauthorised, node_code::unauthorised,
+                                    "The token is missing or wrong.");
     };
 }
 
-void operator_api::add_routes(http_host& host)
+void operator_api::add_routes(http_host& server)
 {
-    add_health(host);
-    host.get("/readyz",
-             [this](const http_request&)
-             {
-                 return ready();
-             });
-    host.get("/metrics",
-             [this](const http_request&)
-             {
-                 return plain_answer(m_core.counters().text(), "text/plain; version=0.0.4");
-             });
-    add_configuration_routes(host);
-    add_state_routes(host);
-    add_admin_routes(host);
+    add_health(server);
+    server.get("/readyz",
+               [this](const http_request&)
+               {
+                   return ready();
+               });
+    server.get("/metrics",
+               [this](const http_request&)
+               {
+                   return ok_response(m_core.counters().text(), "text/plain; version=0.0.4");
+               });
+    add_configuration_routes(server);
+    add_state_routes(server);
+    add_admin_routes(server);
 }
 
-void operator_api::add_health(http_host& host)
+void operator_api::add_health(http_host& server)
 {
-    host.get("/healthz",
-             [this](const http_request&)
-             {
-                 return m_healthy ? plain_answer("{\"healthy\":true}")
-                                  : error_answer(http_status::unavailable, node_code::stopping,
-                                                 "This process is shutting down.");
-             });
+    server.get("/healthz",
+               [this](const http_request&)
+               {
+                   return m_healthy ? ok_response("{\"healthy\":true}")
+                                    : error_response(http_status::unavailable, node_code::stopping,
+                                                     "This process is shutting down.");
+               });
 }
 
-void operator_api::add_configuration_routes(http_host& host)
+void operator_api::add_configuration_routes(http_host& server)
 {
-    using who = const organisation_settings&;
+    using organisation = const organisation_settings&;
     using what = const http_request&;
-    host.put("/v1/templates/" + name_pattern, for_operators(
-                                                  [this](who w, what r)
-                                                  {
-                                                      return put_template_of(w, r);
-                                                  }));
-    host.put("/v1/teams/" + name_pattern, for_operators(
-                                              [this](who w, what r)
-                                              {
-                                                  return put_team_of(w, r);
-                                              }));
+    server.put("/v1/templates/" + name_pattern, require_operator(
+                                                    [this](organisation w, what r)
+                                                    {
+                                                        return put_template_of(w, r);
+                                                    }));
+    server.put("/v1/teams/" + name_pattern, require_operator(
+                                                [this](organisation w, what r)
+                                                {
+                                                    return put_team_of(w, r);
+                                                }));
     const std::string configuration = "/v1/configurations/" + name_pattern;
-    host.put(configuration, for_operators(
-                                [this](who w, what r)
-                                {
-                                    return put_configuration_of(w, r);
-                                }));
-    host.erase(configuration, for_operators(
-                                  [this](who w, what r)
+    server.put(configuration, require_operator(
+                                  [this](organisation w, what r)
                                   {
-                                      return withdraw(w, r);
+                                      return put_configuration_of(w, r);
                                   }));
-    host.post(configuration + "/runs", for_operators(
-                                           [this](who w, what r)
-                                           {
-                                               return run_again(w, r);
-                                           }));
-    host.post("/v1/jobs/cancel", for_operators(
-                                     [this](who w, what r)
-                                     {
-                                         return cancel(w, r);
-                                     }));
+    server.erase(configuration, require_operator(
+                                    [this](organisation w, what r)
+                                    {
+                                        return withdraw(w, r);
+                                    }));
+    server.post(configuration + "/runs", require_operator(
+                                             [this](organisation w, what r)
+                                             {
+                                                 return rerun(w, r);
+                                             }));
+    server.post("/v1/jobs/cancel", require_operator(
+                                       [this](organisation w, what r)
+                                       {
+                                           return cancel(w, r);
+                                       }));
 }
 
-void operator_api::add_state_routes(http_host& host)
+void operator_api::add_state_routes(http_host& server)
 {
-    using who = const organisation_settings&;
+    using organisation = const organisation_settings&;
     using what = const http_request&;
-    const auto add = [this, &host](const std::string& path, query_kind kind)
+    const auto add = [this, &server](const std::string& path, query_kind kind)
     {
-        host.get(path, for_operators(
-                           [this, kind](who w, what r)
-                           {
-                               return read(w, kind, r);
-                           }));
+        server.get(path, require_operator(
+                             [this, kind](organisation w, what r)
+                             {
+                                 return read(w, kind, r);
+                             }));
     };
     add("/v1/templates", query_kind::templates);
     add("/v1/teams", query_kind::teams);
     add("/v1/configurations", query_kind::configurations);
     add("/v1/configurations/" + name_pattern, query_kind::configuration);
     add("/v1/jobs", query_kind::all_jobs);
-    host.get("/v1/jobs/([0-9]{1,18})/explain", for_operators(
-                                                   [this](who w, what r)
-                                                   {
-                                                       return explain(w, r);
-                                                   }));
-    host.get("/v1/timeline",
-             [this](what r)
-             {
-                 const organisation_settings* w = m_access.operator_of(r.authorization);
-                 if (w == nullptr && !m_access.is_admin(r.authorization))
-                 {
-                     return error_answer(http_status::unauthorised, node_code::unauthorised,
-                                         "The token is missing or wrong.");
-                 }
-                 return timeline_for(w == nullptr ? organisation_id{} : w->id, r);
-             });
+    server.get("/v1/jobs/([0-9]{1,18})/explain", require_operator(
+                                                     [this](organisation w, what r)
+                                                     {
+                                                         return explain(w, r);
+                                                     }));
+    server.get("/v1/timeline",
+               [this](what r)
+               {
+                   const organisation_settings* w = m_access.operator_of(r.authorization);
+                   if (w == nullptr && !m_access.is_admin(r.authorization))
+                   {
+                       return error_response(http_status::unauthorised, node_code::unauthorised,
+                                             "The token is missing or wrong.");
+                   }
+                   return timeline_for(w == nullptr ? organisation_id{} : w->id, r);
+               });
 }
 
-void operator_api::add_admin_routes(http_host& host)
+void operator_api::add_admin_routes(http_host& server)
 {
-    host.get("/v1/hosts", for_admins(
-                              [this](const http_request&)
-                              {
-                                  return hosts();
-                              }));
-    host.post("/v1/hosts/([0-9]{1,9})/drain", for_admins(
-                                                  [this](const http_request& r)
-                                                  {
-                                                      return drain(r);
-                                                  }));
-    host.get("/v1/groups", for_admins(
-                               [this](const http_request&)
-                               {
-                                   return groups();
-                               }));
-    host.post("/v1/members/([0-9]{1,5})/replace", for_admins(
-                                                      [this](const http_request& r)
-                                                      {
-                                                          return replace_member(r);
-                                                      }));
+    server.get("/v1/hosts", for_admins(
+                                [this](const http_request&)
+                                {
+                                    return hosts();
+                                }));
+    server.post("/v1/hosts/([0-9]{1,9})/drain", for_admins(
+                                                    [this](const http_request& r)
+                                                    {
+                                                        return drain(r);
+                                                    }));
+    server.get("/v1/groups", for_admins(
+                                 [this](const http_request&)
+                                 {
+                                     return groups();
+                                 }));
+    server.post("/v1/members/([0-9]{1,5})/replace", for_admins(
+                                                        [this](const http_request& r)
+                                                        {
+                                                            return replace_member(r);
+                                                        }));
 }
 
 // ---------------------------------------------------------------------------------------------------------
 // Commands
 // ---------------------------------------------------------------------------------------------------------
 
-http_answer operator_api::command(const organisation_settings& who, const root_command& command)
+http_response operator_api::command(const organisation_settings& organisation, const root_command& command)
 {
-    const reply_body reply = m_core.ask(root_group, root_call{encode(command)}, command_timeout);
+    const reply_body reply = m_core.call_and_wait(root_group, root_call{encode(command)}, command_timeout);
     const auto* answered = std::get_if<root_reply>(&reply);
     if (answered == nullptr)
     {
-        m_core.counters().count_command(who.name, "unavailable");
+        m_core.counters().count_command(organisation.name, "unavailable");
         return elsewhere_answer(reply);
     }
     const root_result& answer = answered->answer;
-    m_core.counters().count_command(who.name, answer.code == 0 ? "accepted" : "refused");
+    m_core.counters().count_command(organisation.name, answer.code == 0 ? "accepted" : "refused");
     if (answer.code != 0)
     {
-        http_answer refused = error_answer(status_of(answer.code), answer.code, answer.detail);
+        http_response refused = error_response(status_of(answer.code), answer.code, answer.detail);
         refused.headers.emplace_back("X-Walkthread-Version", std::to_string(answer.version.value()));
         return refused;
     }
-    return plain_answer(result_document(answer));
+    return ok_response(result_document(answer));
 }
 
-http_answer operator_api::put_template_of(const organisation_settings& who, const http_request& request)
+http_response operator_api::put_template_of(const organisation_settings& organisation,
+                                            const http_request& request)
 {
     auto parsed = parse_template(m_core.config(), request.body);
     if (!ok(parsed))
     {
-        return error_answer(http_status::bad_request, node_code::bad_request, error_of(parsed));
+        return error_response(http_status::bad_request, node_code::bad_request, error_of(parsed));
     }
-    value_of(parsed).organisation = who.id;
+    value_of(parsed).organisation = organisation.id;
     value_of(parsed).content.name = request.parts[0];
-    return command(who, value_of(parsed));
+    return command(organisation, value_of(parsed));
 }
 
-http_answer operator_api::put_team_of(const organisation_settings& who, const http_request& request)
+http_response operator_api::put_team_of(const organisation_settings& organisation,
+                                        const http_request& request)
 {
     auto parsed = parse_team(request.body);
     if (!ok(parsed))
     {
-        return error_answer(http_status::bad_request, node_code::bad_request, error_of(parsed));
+        return error_response(http_status::bad_request, node_code::bad_request, error_of(parsed));
     }
-    value_of(parsed).organisation = who.id;
+    value_of(parsed).organisation = organisation.id;
     value_of(parsed).name = request.parts[0];
-    return command(who, value_of(parsed));
+    return command(organisation, value_of(parsed));
 }
 
-http_answer operator_api::put_configuration_of(const organisation_settings& who, const http_request& request)
+http_response operator_api::put_configuration_of(const organisation_settings& organisation,
+                                                 const http_request& request)
 {
     auto parsed = parse_configuration(m_core.config(), request.body);
     if (!ok(parsed))
     {
-        return error_answer(http_status::bad_request, node_code::bad_request, error_of(parsed));
+        return error_response(http_status::bad_request, node_code::bad_request, error_of(parsed));
     }
-    value_of(parsed).organisation = who.id;
+    value_of(parsed).organisation = organisation.id;
     value_of(parsed).name = request.parts[0];
-    return command(who, value_of(parsed));
+    return command(organisation, value_of(parsed));
 }
 
-http_answer operator_api::withdraw(const organisation_settings& who, const http_request& request)
+http_response operator_api::withdraw(const organisation_settings& organisation, const http_request& request)
 {
     withdraw_configuration out;
-    out.organisation = who.id;
+    out.organisation = organisation.id;
     out.name = request.parts[0];
-    out.request_id = text_in(request.query, "request_id");
-    out.expected = version_id{number_in(request.query, "expected_version")};
+    out.request_id = query_text(request.query, "request_id");
+    out.expected = version_id{query_number(request.query, "expected_version")};
     if (out.request_id.empty())
     {
-        return error_answer(http_status::bad_request, node_code::bad_request,
-                            "Field 'request_id' is missing.");
+        return error_response(http_status::bad_request, node_code::bad_request,
+                              "Field 'request_id' is missing.");
     }
-    return command(who, out);
+    return command(organisation, out);
 }
 
-http_answer operator_api::run_again(const organisation_settings& who, const http_request& request)
+http_response operator_api::rerun(const organisation_settings& organisation, const http_request& request)
 {
     run_configuration out;
-    out.organisation = who.id;
+    out.organisation = organisation.id;
     out.name = request.parts[0];
-    out.request_id = text_in(request.query, "request_id");
+    out.request_id = query_text(request.query, "request_id");
     if (out.request_id.empty())
     {
-        return error_answer(http_status::bad_request, node_code::bad_request,
-                            "Field 'request_id' is missing.");
+        return error_response(http_status::bad_request, node_code::bad_request,
+                              "Field 'request_id' is missing.");
     }
-    return command(who, out);
+    return command(organisation, out);
 }
 
-http_answer operator_api::cancel(const organisation_settings& who, const http_request& request)
+http_response operator_api::cancel(const organisation_settings& organisation, const http_request& request)
 {
     auto parsed = parse_cancellation(request.body);
     if (!ok(parsed))
     {
-        return error_answer(http_status::bad_request, node_code::bad_request, error_of(parsed));
+        return error_response(http_status::bad_request, node_code::bad_request, error_of(parsed));
     }
-    value_of(parsed).organisation = who.id;
-    return command(who, value_of(parsed));
+    value_of(parsed).organisation = organisation.id;
+    return command(organisation, value_of(parsed));
 }
 
 // ---------------------------------------------------------------------------------------------------------
@@ -321,43 +324,44 @@
 
 // Reads at the leader to avoid stale results. Reads from this process's copy if there is no leader or if the
 // request asks for it with local=true.
-http_answer operator_api::read(const organisation_settings& who, query_kind what, const http_request& request)
+http_response operator_api::read(const organisation_settings& organisation, query_kind what,
+                                 const http_request& request)
 {
     query_call query;
     query.kind = static_cast<std::uint8_t>(what);
-    query.organisation = who.id;
+    query.organisation = organisation.id;
     query.name = request.parts.empty() ? std::string{} : request.parts[0];
-    const bool local = text_in(request.query, "local") == "true";
-    reply_body reply = local ? reply_body{} : m_core.ask(root_group, query, query_timeout);
-    const auto* fresh = std::get_if<document_reply>(&reply);
-    std::string body = fresh != nullptr ? fresh->json
-                                        : m_core.run<std::string>(
-                                              [this, query]
-                                              {
-                                                  return root_document(query, m_root.state());
-                                              });
+    const bool local = query_text(request.query, "local") == "true";
+    reply_body reply = local ? reply_body{} : m_core.call_and_wait(root_group, query, query_timeout);
+    const auto* leader_reply = std::get_if<document_reply>(&reply);
+    std::string body = leader_reply != nullptr ? leader_reply->json
+                                               : m_core.run<std::string>(
+                                                     [this, query]
+                                                     {
+                                                         return root_document(query, m_root.state());
+                                                     });
     if (body.empty())
     {
-        return error_answer(http_status::not_found, node_code::not_found, "Not found.");
+        return error_response(http_status::not_found, node_code::not_found, "Not found.");
     }
-    http_answer answer = plain_answer(std::move(body));
-    if (fresh == nullptr)
+    http_response answer = ok_response(std::move(body));
+    if (leader_reply == nullptr)
     {
         answer.headers.emplace_back("X-Walkthread-Copy", "true");
     }
     return answer;
 }
 
-http_answer operator_api::explain(const organisation_settings& who, const http_request& request)
+http_response operator_api::explain(const organisation_settings& organisation, const http_request& request)
 {
     query_call query;
     query.kind = static_cast<std::uint8_t>(query_kind::explain);
-    query.organisation = who.id;
+    query.organisation = organisation.id;
     query.job = job_id{std::stoull(request.parts[0])};
     nlohmann::json halls = nlohmann::json::array();
     for (const hall_settings& hall : m_core.config().halls)
     {
-        const reply_body reply = m_core.ask(group_of(hall.id), query, query_timeout);
+        const reply_body reply = m_core.call_and_wait(group_of(hall.id), query, query_timeout);
         const auto* document = std::get_if<document_reply>(&reply);
         auto part = document == nullptr ? nlohmann::json::object() : nlohmann::json::parse(document->json);
         if (!part.empty())
@@ -367,18 +371,18 @@
     }
     if (halls.empty())
     {
-        return error_answer(http_status::not_found, node_code::not_found, "No such job.");
+        return error_response(http_status::not_found, node_code::not_found, "No such job.");
     }
-    return plain_answer(halls.dump());
+    return ok_response(halls.dump());
 }
 
-http_answer operator_api::timeline_for(organisation_id organisation, const http_request& request)
+http_response operator_api::timeline_for(organisation_id organisation, const http_request& request)
 {
     timeline_call call;
     call.filter.organisation = organisation;
-    call.filter.job = job_id{number_in(request.query, "job")};
-    call.filter.worker = worker_id{static_cast<std::uint32_t>(number_in(request.query, "host"))};
-    call.filter.request = attempt_id{number_in(request.query, "request")};
+    call.filter.job = job_id{query_number(request.query, "job")};
+    call.filter.worker = worker_id{static_cast<std::uint32_t>(query_number(request.query, "host"))};
+    call.filter.request = attempt_id{query_number(request.query, "request")};
     std::vector<timeline_event> events;
     for (const peer_settings& peer : m_core.config().peers)
     {
@@ -388,16 +392,16 @@
             events.insert(events.end(), part->events.begin(), part->events.end());
         }
     }
-    return plain_answer(timeline_document(std::move(events)));
+    return ok_response(timeline_document(std::move(events)));
 }
 
-http_answer operator_api::hosts()
+http_response operator_api::hosts()
 {
     nlohmann::json out = nlohmann::json::array();
     for (const hall_settings& hall : m_core.config().halls)
     {
         const query_call query{static_cast<std::uint8_t>(query_kind::hosts), {}, {}, {}};
-        const reply_body reply = m_core.ask(group_of(hall.id), query, query_timeout);
+        const reply_body reply = m_core.call_and_wait(group_of(hall.id), query, query_timeout);
         if (const auto* document = std::get_if<document_reply>(&reply))
         {
             for (auto& entry : nlohmann::json::parse(document->json))
@@ -406,25 +410,26 @@
             }
         }
     }
-    return plain_answer(out.dump());
+    return ok_response(out.dump());
 }
 
-http_answer operator_api::drain(const http_request& request)
+http_response operator_api::drain(const http_request& request)
 {
-    const hall_settings* hall = m_core.config().find_hall(text_in(request.query, "hall"));
+    const hall_settings* hall = m_core.config().find_hall(query_text(request.query, "hall"));
     if (hall == nullptr)
     {
-        return error_answer(http_status::bad_request, node_code::bad_request,
-                            "Parameter 'hall' must be the name of a hall.");
+        return error_response(http_status::bad_request, node_code::bad_request,
+                              "Parameter 'hall' must be the name of a hall.");
     }
     const worker_id worker{static_cast<std::uint32_t>(std::stoul(request.parts[0]))};
-    const bool back = text_in(request.query, "back") == "true";
+    const bool back = query_text(request.query, "back") == "true";
     const hall_command command = drain_workers{{worker}, !back};
-    const reply_body reply = m_core.ask(group_of(hall->id), hall_call{encode(command)}, command_timeout);
-    return std::holds_alternative<hall_reply>(reply) ? plain_answer("{}") : elsewhere_answer(reply);
+    const reply_body reply =
+        m_core.call_and_wait(group_of(hall->id), hall_call{encode(command)}, command_timeout);
+    return std::holds_alternative<hall_reply>(reply) ? ok_response("{}") : elsewhere_answer(reply);
 }
 
-http_answer operator_api::groups()
+http_response operator_api::groups()
 {
     nlohmann::json out = nlohmann::json::array();
     for (const group_id group : m_core.config().groups())
@@ -442,19 +447,19 @@
             }
         }
     }
-    return plain_answer(out.dump());
+    return ok_response(out.dump());
 }
 
 // Adds the node under its new incarnation to all its groups. The former incarnation is removed once the new
 // one is a voter.
-http_answer operator_api::replace_member(const http_request& request)
+http_response operator_api::replace_member(const http_request& request)
 {
     const node_id node{static_cast<std::uint16_t>(std::stoul(request.parts[0]))};
     const incarnation_id incarnation = m_core.network().incarnation_of(node);
     if (incarnation.value() == 0 || m_core.config().find_peer(node) == nullptr)
     {
-        return error_answer(http_status::not_found, node_code::not_found,
-                            "The node is unknown or has not connected yet.");
+        return error_response(http_status::not_found, node_code::not_found,
+                              "The node is unknown or has not connected yet.");
     }
     bool changed = false;
     for (const group_id group : m_core.config().groups())
@@ -466,7 +471,7 @@
         }
         members_call change;
         change.add = learner{replica_id{node, incarnation}, true, {}};
-        const reply_body reply = m_core.ask(group, change, command_timeout);
+        const reply_body reply = m_core.call_and_wait(group, change, command_timeout);
         const auto* accepted = std::get_if<done_reply>(&reply);
         if (accepted == nullptr)
         {
@@ -474,12 +479,12 @@
         }
         changed = changed || accepted->changed;
     }
-    return changed ? plain_answer("{}")
-                   : error_answer(http_status::conflict, node_code::change_pending,
-                                  "The node is already a member under its latest known incarnation.");
+    return changed ? ok_response("{}")
+                   : error_response(http_status::conflict, node_code::change_pending,
+                                    "The node is already a member under its latest known incarnation.");
 }
 
-http_answer operator_api::ready()
+http_response operator_api::ready()
 {
     const bool ready = m_core.run<bool>(
         [this]
@@ -488,9 +493,9 @@
             return confirmed != monotonic_time{} &&
                    monotonic_now() - confirmed < m_core.config().timing.config_staleness;
         });
-    return ready && m_healthy ? plain_answer("{\"ready\":true}")
-                              : error_answer(http_status::unavailable, node_code::no_leader,
-                                             "The configuration has not been confirmed recently.");
+    return ready && m_healthy ? ok_response("{\"ready\":true}")
+                              : error_response(http_status::unavailable, node_code::no_leader,
+                                               "The configuration has not been confirmed recently.");
 }
 
 } // namespace walkthread
--- a/src/node/peer_network.cpp
+++ b/src/node/peer_network.cpp
@@ -142,11 +142,11 @@
             continue;
         }
         detail::set_send_timeout(socket, send_timeout);
-        bool good =
+        bool connection_ok =
             detail::send_all(socket, frame_of(hello{m_settings.node, m_incarnation, m_settings.cell_secret}));
-        while (good && !m_stopping)
+        while (connection_ok && !m_stopping)
         {
-            good = write_batch(socket, out);
+            connection_ok = write_batch(socket, out);
         }
         ::close(socket);
     }
@@ -188,7 +188,7 @@
 {
     while (!m_stopping)
     {
-        reap();
+        join_finished_readers();
         if (!detail::wait_readable(m_listener, poll_step))
         {
             continue;
@@ -211,13 +211,13 @@
     }
 }
 
-void peer_network::reap()
+void peer_network::join_finished_readers()
 {
     const std::scoped_lock lock(m_in_mutex);
     std::erase_if(m_in,
                   [](const std::unique_ptr<incoming>& in)
                   {
-                      if (!in->over)
+                      if (!in->finished)
                       {
                           return false;
                       }
@@ -231,8 +231,8 @@
     frame_reader reader;
     std::string buffer(read_size, '\0');
     node_id from{};
-    bool good = true;
-    while (good && !m_stopping)
+    bool connection_ok = true;
+    while (connection_ok && !m_stopping)
     {
         if (!detail::wait_readable(in.socket, poll_step))
         {
@@ -245,25 +245,25 @@
         }
         m_metrics.peer_bytes_received.Increment(static_cast<double>(got));
         reader.feed(std::string_view(buffer.data(), static_cast<std::size_t>(got)));
-        while (good)
+        while (connection_ok)
         {
             auto body = reader.next();
             if (!ok(body))
             {
                 m_log->warn("Peer message rejected, error {}: {} Connection closed.", error_of(body).number(),
                             error_of(body).detail);
-                good = false;
+                connection_ok = false;
                 break;
             }
             if (!value_of(body))
             {
                 break;
             }
-            good = handle_body(*value_of(body), from);
+            connection_ok = handle_body(*value_of(body), from);
         }
     }
     ::close(in.socket);
-    in.over = true;
+    in.finished = true;
 }
 
 bool peer_network::handle_body(const std::string& body, node_id& from)
@@ -291,8 +291,8 @@
             return false;
         }
         from = greeting->node;
-        const std::scoped_lock lock(m_seen_mutex);
-        m_seen[from] = greeting->incarnation;
+        const std::scoped_lock lock(m_incarnations_mutex);
+        m_incarnations[from] = greeting->incarnation;
         return true;
     }
     if (from == node_id{})
@@ -311,9 +311,9 @@
     {
         return m_incarnation;
     }
-    const std::scoped_lock lock(m_seen_mutex);
-    const auto found = m_seen.find(node);
-    return found == m_seen.end() ? incarnation_id{} : found->second;
+    const std::scoped_lock lock(m_incarnations_mutex);
+    const auto found = m_incarnations.find(node);
+    return found == m_incarnations.end() ? incarnation_id{} : found->second;
 }
 
 } // namespace walkthread
--- a/src/node/platform_watch.cpp
+++ b/src/node/platform_watch.cpp
@@ -8,9 +8,9 @@
 
 namespace
 {
-constexpr milliseconds interval{1000};
-constexpr milliseconds step{100};
-constexpr milliseconds timeout{2000};
+constexpr milliseconds poll_interval{1000};
+constexpr milliseconds stop_check_interval{100};
+constexpr milliseconds request_timeout{2000};
 
 std::set<worker_id> read_list(const nlohmann::json& body, const char* key)
 {
@@ -63,9 +63,9 @@
     while (!m_stopping)
     {
         ask_once();
-        for (milliseconds waited{0}; waited < interval && !m_stopping; waited += step)
+        for (milliseconds waited{0}; waited < poll_interval && !m_stopping; waited += stop_check_interval)
         {
-            std::this_thread::sleep_for(step);
+            std::this_thread::sleep_for(stop_check_interval);
         }
     }
 }
@@ -73,8 +73,8 @@
 void platform_watch::ask_once()
 {
     httplib::Client client(m_platform.ip, m_platform.port);
-    client.set_connection_timeout(timeout);
-    client.set_read_timeout(timeout);
+    client.set_connection_timeout(request_timeout);
+    client.set_read_timeout(request_timeout);
     const httplib::Result answer = client.Get("/v1/hosts");
     if (!answer || answer->status != 200)
     {
--- a/src/node/process.cpp
+++ b/src/node/process.cpp
@@ -67,22 +67,22 @@
 
 std::unique_ptr<http_host> process::make_host(const socket_address& address, std::size_t threads) const
 {
-    http_bounds bounds;
-    bounds.threads = threads;
-    bounds.queue = static_cast<std::size_t>(m_settings.limits.http_queue);
-    bounds.body_bytes = static_cast<std::size_t>(m_settings.limits.body_bytes);
-    return std::make_unique<http_host>(address, bounds, m_settings.tls_certificate, m_settings.tls_key);
+    http_bounds limits;
+    limits.threads = threads;
+    limits.queue = static_cast<std::size_t>(m_settings.limits.http_queue);
+    limits.body_bytes = static_cast<std::size_t>(m_settings.limits.body_bytes);
+    return std::make_unique<http_host>(address, limits, m_settings.tls_certificate, m_settings.tls_key);
 }
 
 void process::make_listeners()
 {
     const auto threads = static_cast<std::size_t>(m_settings.limits.http_threads);
-    m_hosts.push_back(make_host(m_settings.operators, operator_threads));
-    m_operators.add_routes(*m_hosts.back());
+    m_servers.push_back(make_host(m_settings.operators, operator_threads));
+    m_operators.add_routes(*m_servers.back());
     if (m_settings.workers.port != 0)
     {
-        m_hosts.push_back(make_host(m_settings.workers, threads));
-        m_workers.add_routes(*m_hosts.back());
+        m_servers.push_back(make_host(m_settings.workers, threads));
+        m_workers.add_routes(*m_servers.back());
     }
     for (const organisation_settings& organisation : m_settings.organisations)
     {
@@ -91,20 +91,20 @@
             continue;
         }
         m_caller_hosts.push_back(make_host(organisation.callers, threads));
-        http_host& host = *m_caller_hosts.back();
-        m_operators.add_health(host);
-        host.post("/v1/services/" + name_pattern + "/requests",
-                  [this, &organisation](const http_request& request)
-                  {
-                      const organisation_settings* caller = m_access.caller_of(request.authorization);
-                      if (caller != &organisation)
-                      {
-                          return error_answer(http_status::unauthorised, node_code::unauthorised,
-                                              "The token is missing or wrong.");
-                      }
-                      return m_router.handle(*caller, request.parts[0], request.idempotency_key,
-                                             request.body);
-                  });
+        http_host& server = *m_caller_hosts.back();
+        m_operators.add_health(server);
+        server.post("/v1/services/" + name_pattern + "/requests",
+                    [this, &organisation](const http_request& request)
+                    {
+                        const organisation_settings* caller = m_access.caller_of(request.authorization);
+                        if (caller != &organisation)
+                        {
+                            return error_response(http_status::unauthorised, node_code::unauthorised,
+                                                  "The token is missing or wrong.");
+                        }
+                        return m_router.handle(*caller, request.parts[0], request.idempotency_key,
+                                               request.body);
+                    });
     }
 }
 
@@ -116,11 +116,11 @@
         m_log->error("Cannot bind the peer address.");
         return false;
     }
-    for (auto* hosts : {&m_hosts, &m_caller_hosts})
+    for (auto* servers : {&m_servers, &m_caller_hosts})
     {
-        for (auto& host : *hosts)
+        for (auto& server : *servers)
         {
-            if (!host->start())
+            if (!server->start())
             {
                 m_log->error("Cannot bind an HTTP address or read the TLS certificate.");
                 return false;
@@ -151,18 +151,18 @@
     {
         std::this_thread::sleep_for(m_settings.timing.balancer);
     }
-    for (auto& host : m_caller_hosts)
+    for (auto& server : m_caller_hosts)
     {
-        host->stop();
+        server->stop();
     }
     m_log->info("All requests in progress have completed.");
     if (m_platform)
     {
         m_platform->stop();
     }
-    for (auto& host : m_hosts)
+    for (auto& server : m_servers)
     {
-        host->stop();
+        server->stop();
     }
     m_core.stop();
     m_log->info("Stopped.");
--- a/src/node/request_router.cpp
+++ b/src/node/request_router.cpp
@@ -12,12 +12,12 @@
 
 namespace
 {
-constexpr std::size_t most_attempts = 3;
+constexpr std::size_t max_attempts = 3;
 constexpr std::size_t longest_kept_body = 16U << 10U;
 constexpr milliseconds claim_timeout{2500};
-constexpr milliseconds settle_timeout{2500};
+constexpr milliseconds record_outcome_timeout{2500};
 
-http_answer with_outcome(http_answer answer, request_outcome outcome)
+http_response with_outcome(http_response answer, request_outcome outcome)
 {
     answer.headers.emplace_back("X-Walkthread-Outcome", to_string(outcome));
     return answer;
@@ -74,8 +74,8 @@
 // Admission
 // ---------------------------------------------------------------------------------------------------------
 
-http_answer request_router::handle(const organisation_settings& caller, const std::string& service,
-                                   const std::string& key, const std::string& body)
+http_response request_router::handle(const organisation_settings& caller, const std::string& service,
+                                     const std::string& key, const std::string& body)
 {
     const monotonic_time started = monotonic_now();
     routed_request request{caller,
@@ -102,7 +102,7 @@
                        "The gateway is shutting down or the organisation's request limit is reached.");
     }
     m_core.counters().requests_in_progress.Increment();
-    http_answer answer = route(request);
+    http_response answer = route(request);
     m_core.counters().requests_in_progress.Decrement();
     const monotonic_time now = monotonic_now();
     const std::scoped_lock lock(limits.mutex);
@@ -110,8 +110,8 @@
     return answer;
 }
 
-http_answer request_router::not_run(const routed_request& request, routing_code code,
-                                    const std::string& detail)
+http_response request_router::not_run(const routed_request& request, routing_code code,
+                                      const std::string& detail)
 {
     seconds wait{1};
     {
@@ -119,13 +119,13 @@
         const std::scoped_lock lock(limits.mutex);
         wait = limits.admitted.retry_after(monotonic_now());
     }
-    http_answer answer = error_answer(http_status::unavailable, static_cast<int>(code), detail);
+    http_response answer = error_response(http_status::unavailable, static_cast<int>(code), detail);
     answer.headers = {{"Retry-After", std::to_string(wait.count())}};
     m_core.counters().count_request(request.caller.name, to_string(request_outcome::not_run), 0.0);
     return with_outcome(std::move(answer), request_outcome::not_run);
 }
 
-http_answer request_router::route(routed_request& request)
+http_response request_router::route(routed_request& request)
 {
     if (!m_feed.confirmed(monotonic_now()))
     {
@@ -135,19 +135,19 @@
     const std::optional<service_view> service = m_feed.find_service(request.service);
     if (!service)
     {
-        return error_answer(http_status::not_found, static_cast<int>(node_code::not_found),
-                            "No such service.");
+        return error_response(http_status::not_found, static_cast<int>(node_code::not_found),
+                              "No such service.");
     }
     request.repeatable = service->repeatable;
     if (request.repeatable)
     {
-        return answer_of(request, send(request));
+        return response_for(request, send(request));
     }
     const std::optional<wall_ms> time = time_of_key(request.key);
     if (!time)
     {
-        return error_answer(http_status::bad_request, static_cast<int>(node_code::bad_key),
-                            "This service requires an Idempotency-Key that is a version 7 UUID.");
+        return error_response(http_status::bad_request, static_cast<int>(node_code::bad_key),
+                              "This service requires an Idempotency-Key that is a version 7 UUID.");
     }
     request.key_time = *time;
     return route_claimed(request);
@@ -157,20 +157,21 @@
 // Claims
 // ---------------------------------------------------------------------------------------------------------
 
-http_answer request_router::route_claimed(routed_request& request)
+http_response request_router::route_claimed(routed_request& request)
 {
     const timing_settings& timing = m_core.config().timing;
     const claim_request claim{
         request.caller.id, request.key,      digest_of_request(request.service.second, request.body),
         request.attempt,   request.key_time, milliseconds(timing.key_window).count()};
     const group_id owner = owner_of_key(request.caller.id, request.key, m_core.config().halls.size());
-    const reply_body reply = m_core.ask(owner, hall_call{encode(hall_command{claim})}, claim_timeout);
+    const reply_body reply =
+        m_core.call_and_wait(owner, hall_call{encode(hall_command{claim})}, claim_timeout);
     const auto* answered = std::get_if<hall_reply>(&reply);
     if (answered == nullptr)
     {
         // The claim may still be committed. It belongs to this attempt and nothing was sent to an endpoint,
         // so it can be released.
-        const bool given_up = settle(request, routed_end{});
+        const bool given_up = record_outcome(request, routing_result{});
         return given_up
                    ? not_run(request, routing_code::no_claim, "The key could not be claimed at the moment.")
                    : unknown(request, "The key could be neither claimed nor released.");
@@ -184,26 +185,26 @@
     {
         return kept_answer(claimed);
     }
-    note(event_kind::request_claimed, request, request.key);
-    const routed_end end = send(request);
-    const bool settled = settle(request, end);
+    record_event(event_kind::request_claimed, request, request.key);
+    const routing_result end = send(request);
+    const bool settled = record_outcome(request, end);
     if (end.outcome == request_outcome::not_run && !settled)
     {
         return unknown(request, "The request was not sent, but its key could not be released.");
     }
-    return answer_of(request, end);
+    return response_for(request, end);
 }
 
-http_answer request_router::kept_answer(const claim_result& kept)
+http_response request_router::kept_answer(const claim_result& kept)
 {
     if (kept.status == 0)
     {
         const int code = static_cast<int>(routing_code::answer_not_kept);
-        return with_outcome(error_answer(http_status::gone, code,
-                                         "The request completed; its response was too long to be stored."),
+        return with_outcome(error_response(http_status::gone, code,
+                                           "The request completed; its response was too long to be stored."),
                             request_outcome::completed);
     }
-    http_answer answer;
+    http_response answer;
     answer.status = kept.status;
     answer.body = kept.body;
     answer.content_type = "application/octet-stream";
@@ -211,24 +212,24 @@
     return with_outcome(std::move(answer), request_outcome::completed);
 }
 
-http_answer request_router::refused_claim(const routed_request& request, const claim_result& refused)
+http_response request_router::refused_claim(const routed_request& request, const claim_result& refused)
 {
     const auto code = static_cast<state_code>(refused.code);
     switch (code)
     {
     case state_code::key_body_differs:
-        return error_answer(http_status::unprocessable, refused.code,
-                            "The key was already used with a different body.");
+        return error_response(http_status::unprocessable, refused.code,
+                              "The key was already used with a different body.");
     case state_code::key_expired:
-        return error_answer(http_status::unprocessable, refused.code,
-                            "The key is older than the idempotency window.");
+        return error_response(http_status::unprocessable, refused.code,
+                              "The key is older than the idempotency window.");
     case state_code::key_from_future:
-        return error_answer(http_status::unprocessable, refused.code,
-                            "The time stamp of the key is in the future.");
+        return error_response(http_status::unprocessable, refused.code,
+                              "The time stamp of the key is in the future.");
     case state_code::claim_held:
     {
-        http_answer answer =
-            error_answer(http_status::conflict, refused.code, "A request with this key is in progress.");
+        http_response answer =
+            error_response(http_status::conflict, refused.code, "A request with this key is in progress.");
         answer.headers.emplace_back("Retry-After", "1");
         m_core.counters().count_request(request.caller.name, "in_progress", 0.0);
         return with_outcome(std::move(answer), request_outcome::unknown);
@@ -239,7 +240,7 @@
 }
 
 // Records the outcome of a claimed request. Returns whether the record was committed.
-bool request_router::settle(const routed_request& request, const routed_end& end)
+bool request_router::record_outcome(const routed_request& request, const routing_result& end)
 {
     settle_claim settled{request.caller.id, request.key, request.attempt, phase_of(end.outcome), 0, {}, 0, 0};
     settled.digest = digest_of_request(request.service.second, request.body);
@@ -252,7 +253,8 @@
         settled.body = end.exchange.body;
     }
     const group_id owner = owner_of_key(request.caller.id, request.key, m_core.config().halls.size());
-    const reply_body reply = m_core.ask(owner, hall_call{encode(hall_command{settled})}, settle_timeout);
+    const reply_body reply =
+        m_core.call_and_wait(owner, hall_call{encode(hall_command{settled})}, record_outcome_timeout);
     const auto* answered = std::get_if<hall_reply>(&reply);
     return answered != nullptr && answered->answer.claim.code == 0;
 }
@@ -261,21 +263,21 @@
 // Exchanges
 // ---------------------------------------------------------------------------------------------------------
 
-request_router::routed_end request_router::send(routed_request& request)
+request_router::routing_result request_router::send(routed_request& request)
 {
     organisation_limits& limits = limits_of(request.caller);
     {
         const std::scoped_lock lock(limits.mutex);
         limits.retries.on_request();
     }
-    routed_end end;
+    routing_result end;
     bool any_broken = false;
     std::vector<endpoint_key> tried;
-    while (tried.size() < most_attempts)
+    while (tried.size() < max_attempts)
     {
         const monotonic_time now = monotonic_now();
-        const auto left = std::chrono::duration_cast<milliseconds>(request.deadline - now);
-        if (left <= milliseconds(0))
+        const auto time_left = std::chrono::duration_cast<milliseconds>(request.deadline - now);
+        if (time_left <= milliseconds(0))
         {
             break;
         }
@@ -294,9 +296,9 @@
         }
         tried.push_back(to->key());
         const attempt_id attempt = tried.size() == 1 ? request.attempt : next_attempt();
-        note(event_kind::request_sent, request, to_string(to->run));
+        record_event(event_kind::request_sent, request, to_string(to->run));
         end.exchange = m_connections.run(
-            *to, {attempt, request.service.second, request.body, !request.repeatable, left});
+            *to, {attempt, request.service.second, request.body, !request.repeatable, time_left});
         m_feed.end(request.service, *to, verdict_of(end.exchange.end), monotonic_now());
         any_broken = any_broken || end.exchange.end == exchange_end::broken;
         const next_step step = step_after(end.exchange.end, request.repeatable);
@@ -315,18 +317,18 @@
     return end;
 }
 
-http_answer request_router::unknown(const routed_request& request, const std::string& detail)
+http_response request_router::unknown(const routed_request& request, const std::string& detail)
 {
     const int code = static_cast<int>(routing_code::broken_exchange);
-    http_answer answer = error_answer(http_status::timed_out, code, detail);
+    http_response answer = error_response(http_status::timed_out, code, detail);
     answer.headers.emplace_back("Retry-After", "1");
     m_core.counters().count_request(request.caller.name, to_string(request_outcome::unknown), 0.0);
     return with_outcome(std::move(answer), request_outcome::unknown);
 }
 
-http_answer request_router::answer_of(const routed_request& request, const routed_end& end)
+http_response request_router::response_for(const routed_request& request, const routing_result& end)
 {
-    note(event_kind::request_ended, request, to_string(end.outcome));
+    record_event(event_kind::request_ended, request, to_string(end.outcome));
     if (end.outcome == request_outcome::not_run)
     {
         return not_run(request, end.reason, "No endpoint accepted the request; it did not run.");
@@ -335,10 +337,11 @@
     {
         return unknown(request, "The request was sent, but no complete response was received.");
     }
-    const double left = std::chrono::duration<double>(request.deadline - monotonic_now()).count();
-    const double whole = std::chrono::duration<double>(m_core.config().timing.request).count();
-    m_core.counters().count_request(request.caller.name, to_string(end.outcome), std::max(0.0, whole - left));
-    http_answer answer;
+    const double time_left = std::chrono::duration<double>(request.deadline - monotonic_now()).count();
+    const double time_limit = std::chrono::duration<double>(m_core.config().timing.request).count();
+    m_core.counters().count_request(request.caller.name, to_string(end.outcome),
+                                    std::max(0.0, time_limit - time_left));
+    http_response answer;
     answer.status = end.exchange.status;
     answer.body = end.exchange.body;
     answer.content_type =
@@ -346,7 +349,7 @@
     return with_outcome(std::move(answer), end.outcome);
 }
 
-void request_router::note(event_kind kind, const routed_request& request, std::string text)
+void request_router::record_event(event_kind kind, const routed_request& request, std::string text)
 {
     timeline_event event;
     event.kind = static_cast<std::uint8_t>(kind);
--- a/src/node/root_service.cpp
+++ b/src/node/root_service.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 constexpr std::uint8_t all_parameters = 0xFF;
-constexpr std::size_t view_bytes = 1U << 20U;
+constexpr std::size_t max_update_bytes = 1U << 20U;
 
 root_result refuse(const state_error& error)
 {
@@ -46,17 +46,17 @@
         {
             return m_state.load(bytes);
         };
-        group_duties duties;
-        duties.handle = [this](const call_body& body, const reply_handler& handler)
+        group_duties callbacks;
+        callbacks.handle = [this](const call_body& body, const reply_handler& handler)
         {
             handle(body, handler);
         };
-        duties.tick = [](monotonic_time, wall_ms) {};
-        duties.applied = [this]
+        callbacks.tick = [](monotonic_time, wall_ms) {};
+        callbacks.applied = [this]
         {
             changed();
         };
-        m_group = &m_core.add_group(root_group, std::move(hooks), std::move(duties));
+        m_group = &m_core.add_group(root_group, std::move(hooks), std::move(callbacks));
     }
     m_core.add_ticker(
         [this](monotonic_time now, wall_ms)
@@ -72,7 +72,7 @@
 
 log_index root_service::applied() const
 {
-    return m_group != nullptr ? m_group->applied() : m_followed;
+    return m_group != nullptr ? m_group->applied() : m_followed_index;
 }
 
 void root_service::changed()
@@ -84,7 +84,7 @@
     }
     if (m_core.leads(root_group, monotonic_now()))
     {
-        m_core.announce(root_group);
+        m_core.notify_peers(root_group);
     }
 }
 
@@ -98,9 +98,9 @@
     {
         handle_command(*command, handler);
     }
-    else if (const auto* view = std::get_if<root_view_call>(&body))
+    else if (const auto* update = std::get_if<root_view_call>(&body))
     {
-        handle_view(*view, handler);
+        handle_view(*update, handler);
     }
     else if (const auto* query = std::get_if<query_call>(&body))
     {
@@ -174,13 +174,13 @@
                                                      const std::string& template_name,
                                                      const parameters& given_values, std::uint8_t given)
 {
-    const auto shape = m_state.templates().find({organisation, template_name});
-    if (shape == m_state.templates().end())
+    const auto stored_template = m_state.templates().find({organisation, template_name});
+    if (stored_template == m_state.templates().end())
     {
         return done{}; // the state machine rejects the command with the reason
     }
-    const parameters values = merge(shape->second.defaults, given_values, given);
-    auto chosen = choose_halls(m_halls, shape->second.workload(), values);
+    const parameters values = merge(stored_template->second.defaults, given_values, given);
+    auto chosen = choose_halls(m_halls, stored_template->second.workload(), values);
     if (!ok(chosen))
     {
         return error_of(chosen);
@@ -211,7 +211,7 @@
     }
     else if (call.known < reply.commit)
     {
-        reply.entries = log.slice(log_index{call.known.value() + 1}, view_bytes);
+        reply.entries = log.slice(log_index{call.known.value() + 1}, max_update_bytes);
         const auto uncommitted = [&reply](const log_entry& e)
         {
             return e.index > reply.commit;
@@ -231,12 +231,12 @@
     const root_result answer = m_state.apply(at, value_of(command));
     if (m_core.leads(root_group, monotonic_now()))
     {
-        note_event(value_of(command), answer);
+        record_event(value_of(command), answer);
     }
     return encode(answer);
 }
 
-void root_service::note_event(const root_command& command, const root_result& answer)
+void root_service::record_event(const root_command& command, const root_result& answer)
 {
     const auto* put = std::get_if<put_configuration>(&command);
     const auto* withdrawn = std::get_if<withdraw_configuration>(&command);
@@ -269,21 +269,21 @@
 void root_service::refresh()
 {
     m_next_view = monotonic_now() + m_core.config().timing.feed;
-    if (m_asking)
+    if (m_update_in_flight)
     {
-        m_ask_again = true;
+        m_refresh_again = true;
         return;
     }
-    m_asking = true;
-    const monotonic_time asked = monotonic_now();
-    const auto answered = [this, asked](const reply_body& reply)
+    m_update_in_flight = true;
+    const monotonic_time sent_at = monotonic_now();
+    const auto answered = [this, sent_at](const reply_body& reply)
     {
-        m_asking = false;
-        if (const auto* view = std::get_if<root_view_reply>(&reply))
+        m_update_in_flight = false;
+        if (const auto* update = std::get_if<root_view_reply>(&reply))
         {
-            take_view(asked, *view);
+            take_view(sent_at, *update);
         }
-        if (std::exchange(m_ask_again, false))
+        if (std::exchange(m_refresh_again, false))
         {
             refresh();
         }
@@ -291,22 +291,22 @@
     m_core.call(root_group, root_view_call{applied()}, m_core.config().timing.feed * 2, answered);
 }
 
-void root_service::take_view(monotonic_time asked, const root_view_reply& reply)
+void root_service::take_view(monotonic_time sent_at, const root_view_reply& reply)
 {
     if (m_group == nullptr)
     {
-        const bool news = reply.has_snapshot || !reply.entries.empty();
-        if (reply.has_snapshot && reply.content.index > m_followed && m_state.load(reply.content.data))
+        const bool has_changes = reply.has_snapshot || !reply.entries.empty();
+        if (reply.has_snapshot && reply.content.index > m_followed_index && m_state.load(reply.content.data))
         {
-            m_followed = reply.content.index;
+            m_followed_index = reply.content.index;
         }
         for (const log_entry& entry : reply.entries)
         {
-            if (entry.index.value() != m_followed.value() + 1)
+            if (entry.index.value() != m_followed_index.value() + 1)
             {
                 continue;
             }
-            m_followed = entry.index;
+            m_followed_index = entry.index;
             auto body = entry.type() == entry_kind::command ? decode<entry_body>(entry.data)
                                                             : result<entry_body, wire_error>{wire_error{}};
             if (ok(body))
@@ -314,12 +314,12 @@
                 apply(value_of(body).at, value_of(body).command);
             }
         }
-        if (news)
+        if (has_changes)
         {
             changed();
         }
     }
-    m_pending_asked = std::max(m_pending_asked, asked);
+    m_pending_asked = std::max(m_pending_asked, sent_at);
     m_pending_commit = reply.commit;
     confirm_if_applied();
 }
--- a/src/node/tcp.cpp
+++ b/src/node/tcp.cpp
@@ -16,7 +16,7 @@
 {
 constexpr int backlog = 128;
 
-sockaddr_in to_system(const socket_address& address)
+sockaddr_in to_sockaddr(const socket_address& address)
 {
     sockaddr_in out{};
     out.sin_family = AF_INET;
@@ -50,8 +50,9 @@
     const int on = 1;
     ::setsockopt(socket, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
     set_no_delay(socket);
-    const sockaddr_in where = to_system(address);
-    const bool bound = ::bind(socket, reinterpret_cast<const sockaddr*>(&where), sizeof(where)) == 0;
+    const sockaddr_in native_address = to_sockaddr(address);
+    const bool bound =
+        ::bind(socket, reinterpret_cast<const sockaddr*>(&native_address), sizeof(native_address)) == 0;
     if (!bound || ::listen(socket, backlog) != 0)
     {
         ::close(socket);
@@ -63,8 +64,9 @@
 int connect_to(const socket_address& address, milliseconds timeout)
 {
     const int socket = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
-    const sockaddr_in where = to_system(address);
-    const int started = ::connect(socket, reinterpret_cast<const sockaddr*>(&where), sizeof(where));
+    const sockaddr_in native_address = to_sockaddr(address);
+    const int started =
+        ::connect(socket, reinterpret_cast<const sockaddr*>(&native_address), sizeof(native_address));
     const bool connected = started == 0 || (errno == EINPROGRESS && finish_connect(socket, timeout));
     if (!connected)
     {
--- a/tests/src/unit-calls.cpp
+++ b/tests/src/unit-calls.cpp
@@ -18,7 +18,7 @@
 {
 constexpr node_id caller{1};
 constexpr node_id callee{2};
-constexpr milliseconds call_time{20'000};
+constexpr milliseconds call_timeout{20'000};
 
 // A currently unused loopback port.
 std::uint16_t free_port()
@@ -100,7 +100,7 @@
     peer_network m_network;
 };
 
-query_call question(std::uint8_t kind)
+query_call query_of_kind(std::uint8_t kind)
 {
     query_call out;
     out.kind = kind;
@@ -121,12 +121,12 @@
     {
         process_core former(config, nullptr, events, counters);
         BOOST_REQUIRE(former.start());
-        former.call_node(callee, root_group, question(1), call_time, [](const reply_body&) {});
+        former.call_node(callee, root_group, query_of_kind(1), call_timeout, [](const reply_body&) {});
         other.wait_for_first_call();
     }
     process_core next(config, nullptr, events, counters);
     BOOST_REQUIRE(next.start());
-    const reply_body reply = next.ask_node(callee, root_group, question(2), call_time);
+    const reply_body reply = next.ask_node(callee, root_group, query_of_kind(2), call_timeout);
     BOOST_REQUIRE(std::holds_alternative<document_reply>(reply));
     BOOST_TEST(std::get<document_reply>(reply).json == "reply to this call");
 }
