--- a/include/walkthread/observe/decision_log.hpp
+++ b/include/walkthread/observe/decision_log.hpp
@@ -100,7 +100,7 @@
     std::int64_t m_own_in_second = 0;
     std::uint64_t m_written = 0;
     std::uint64_t m_over_rate = 0;
-    std::uint64_t m_reported = 0;
+    std::uint64_t m_reported_dropped = 0;
 };
 
 } // namespace walkthread
--- a/include/walkthread/observe/metrics.hpp
+++ b/include/walkthread/observe/metrics.hpp
@@ -36,7 +36,7 @@
     /// @brief Counts a configuration command by organisation and result.
     void count_command(const std::string& organisation, const std::string& result);
     /// @brief Records the time from a task's submission to its start.
-    void note_start(const std::string& kind, double waited_seconds);
+    void observe_start_wait(const std::string& kind, double waited_seconds);
 
     prometheus::Counter& peer_bytes_sent;
     prometheus::Counter& peer_bytes_received;
--- a/include/walkthread/observe/story.hpp
+++ b/include/walkthread/observe/story.hpp
@@ -26,7 +26,7 @@
 };
 
 /// @brief The log lines about a submission, and their likely explanation.
-struct story
+struct submission_history
 {
     std::vector<story_line> lines;
     std::vector<std::string> conclusions; ///< sentences for the operator, most significant first
@@ -35,9 +35,9 @@
 
 /// @brief Adds the lines of a log about submission `id` (16 hexadecimal digits) to its history. Text before
 /// the JSON object of a line is skipped.
-void read_log(std::istream& log, const std::string& id, story& into);
+void read_log(std::istream& log, const std::string& id, submission_history& into);
 
 /// @brief Sorts the lines by time and derives the conclusions. Complexity: O(n log n) in the lines.
-void conclude(story& of);
+void analyze(submission_history& history);
 
 } // namespace walkthread
--- a/include/walkthread/replay/replay.hpp
+++ b/include/walkthread/replay/replay.hpp
@@ -42,10 +42,10 @@
     std::uint64_t placements{};
     std::uint64_t failed_runs{};
     double hosts_per_placement{};
-    std::string broken{}; ///< description of the first violated invariant; empty if none
+    std::string invariant_violation{}; ///< description of the first violated invariant; empty if none
 
     /// @brief A metric by its name, such as "wait_p99_s/1/batch" or "packing".
-    [[nodiscard]] std::optional<double> figure(const std::string& metric) const;
+    [[nodiscard]] std::optional<double> find_metric(const std::string& metric) const;
 };
 
 /// @brief The names of all policies: walkthread, the baselines, and walkthread with one mechanism disabled.
--- a/include/walkthread/replay/trace.hpp
+++ b/include/walkthread/replay/trace.hpp
@@ -81,9 +81,9 @@
 {
     std::string metric{};
     std::string policy = "walkthread";
-    std::string of{}; ///< policy to compare with; empty for absolute bounds
-    double least = -1.0e300;
-    double most = 1.0e300;
+    std::string baseline_policy{}; ///< policy to compare with; empty for absolute bounds
+    double min_value = -1.0e300;
+    double max_value = 1.0e300;
 };
 
 /// @brief A trace with its expectations.
--- a/include/walkthread/routing/endpoints.hpp
+++ b/include/walkthread/routing/endpoints.hpp
@@ -67,7 +67,7 @@
 /// @brief What the result of an exchange says about the state of its endpoint.
 enum class endpoint_verdict : std::uint8_t
 {
-    good = 0,
+    healthy = 0,
     broken = 1, ///< no complete response was received
     gone = 2,   ///< the endpoint could not be reached or is leaving
 };
@@ -97,7 +97,7 @@
     endpoint_directory(endpoint_choice choice, duration staleness, std::uint32_t worker_connections);
 
     /// @brief Replaces a service's endpoints in one hall; an empty list removes them.
-    void set(hall_id hall, const service_endpoints& news);
+    void set(hall_id hall, const service_endpoints& update);
     /// @brief Removes all endpoints reported by a hall, before the hall sends a full report.
     void clear(hall_id hall);
     /// @brief Records that the information about a hall was current at a time.
@@ -114,7 +114,7 @@
     /// @brief The number of endpoints known for a service, usable or not.
     [[nodiscard]] std::size_t count(const service_key& service) const;
 
-    static constexpr std::uint32_t suspect_after = 3;
+    static constexpr std::uint32_t suspect_threshold = 3;
     static constexpr duration avoid_time = seconds(2);
 
   private:
@@ -125,8 +125,8 @@
     duration m_staleness;
     std::uint32_t m_worker_connections;
     std::map<service_key, std::map<endpoint_key, endpoint_state>> m_services;
-    std::map<std::pair<hall_id, job_id>, std::vector<endpoint_key>> m_told;
-    std::map<hall_id, monotonic_time> m_confirmed;
+    std::map<std::pair<hall_id, job_id>, std::vector<endpoint_key>> m_reported_endpoints;
+    std::map<hall_id, monotonic_time> m_last_confirmation;
     std::map<worker_id, std::uint32_t> m_connections;
 };
 
--- a/include/walkthread/routing/limits.hpp
+++ b/include/walkthread/routing/limits.hpp
@@ -31,7 +31,7 @@
     double m_per_second;
     double m_burst;
     double m_tokens;
-    monotonic_time m_at{};
+    monotonic_time m_updated_at{};
 };
 
 /// @brief Limits retries to a fixed fraction of the requests, so that they cannot amplify an overload.
@@ -42,7 +42,7 @@
     /// @brief Average number of retries allowed per request.
     static constexpr double ratio = 0.2;
     /// @brief Maximum number of unused retries that accumulate.
-    static constexpr double most = 20.0;
+    static constexpr double max_saved = 20.0;
 
     /// @brief Counts a first attempt.
     void on_request();
@@ -50,7 +50,7 @@
     [[nodiscard]] bool take();
 
   private:
-    double m_saved = most;
+    double m_saved = max_saved;
 };
 
 /// @brief Admission control for one organisation's requests at one gateway.
--- a/include/walkthread/routing/outcome.hpp
+++ b/include/walkthread/routing/outcome.hpp
@@ -52,8 +52,8 @@
     {
         return next_step::answer;
     }
-    const bool surely_not_run = end == exchange_end::not_sent || end == exchange_end::refused;
-    return surely_not_run || repeatable ? next_step::try_another : next_step::give_up;
+    const bool known_not_run = end == exchange_end::not_sent || end == exchange_end::refused;
+    return known_not_run || repeatable ? next_step::try_another : next_step::give_up;
 }
 
 /// @brief The outcome of a request without a response, when no further endpoint is tried.
--- a/src/ctl/losses_command.cpp
+++ b/src/ctl/losses_command.cpp
@@ -85,7 +85,7 @@
         }
         reader.read(word == "-" ? std::cin : file);
     }
-    const loss_report report = reader.conclude();
+    const loss_report report = reader.analyze();
     as_table ? print_table(report) : print_json(report);
     return exit_good;
 }
--- a/src/ctl/story_command.cpp
+++ b/src/ctl/story_command.cpp
@@ -17,7 +17,7 @@
 constexpr int exit_usage = 1;
 constexpr int exit_nothing = 2;
 
-void print_table(const story& found)
+void print_table(const submission_history& found)
 {
     const std::int64_t first = found.lines.front().at_ms;
     for (const story_line& line : found.lines)
@@ -36,7 +36,7 @@
     }
 }
 
-void print_json(const story& found)
+void print_json(const submission_history& found)
 {
     nlohmann::ordered_json out{{"lines", nlohmann::ordered_json::array()},
                                {"conclusions", found.conclusions}};
@@ -55,7 +55,7 @@
         std::cerr << "story takes a submission id (16 hexadecimal digits) and log files.\n";
         return exit_usage;
     }
-    story found;
+    submission_history found;
     for (std::size_t i = 1; i < words.size(); ++i)
     {
         std::ifstream file(words[i]);
@@ -66,7 +66,7 @@
         }
         read_log(words[i] == "-" ? std::cin : file, words.front(), found);
     }
-    conclude(found);
+    analyze(found);
     if (found.lines.empty())
     {
         std::cerr << "No log lines found for " << words.front() << ".\n";
--- a/src/node/hall_events.cpp
+++ b/src/node/hall_events.cpp
@@ -123,7 +123,7 @@
         if (started)
         {
             const double waited = static_cast<double>(at - job->second.spec.submitted) / ms_per_second;
-            m_core.counters().note_start(to_string(job->second.spec.workload()), waited);
+            m_core.counters().observe_start_wait(to_string(job->second.spec.workload()), waited);
         }
     }
 }
--- a/src/node/request_router.cpp
+++ b/src/node/request_router.cpp
@@ -28,7 +28,7 @@
     switch (end)
     {
     case exchange_end::whole_answer:
-        return endpoint_verdict::good;
+        return endpoint_verdict::healthy;
     case exchange_end::broken:
         return endpoint_verdict::broken;
     default:
--- a/src/observe/decision_log.cpp
+++ b/src/observe/decision_log.cpp
@@ -38,10 +38,10 @@
         m_in_second = 0;
         m_own_in_second = 0;
         const std::uint64_t lost = dropped();
-        if (lost > m_reported)
+        if (lost > m_reported_dropped)
         {
-            emit(at, "log_lines_dropped", {}, {{"lines", lost - m_reported}, {"in_all", lost}});
-            m_reported = lost;
+            emit(at, "log_lines_dropped", {}, {{"lines", lost - m_reported_dropped}, {"in_all", lost}});
+            m_reported_dropped = lost;
         }
     }
     // Lines about the process itself have a limit of their own, so that a flood of requests cannot displace
--- a/src/observe/losses.cpp
+++ b/src/observe/losses.cpp
@@ -42,11 +42,11 @@
         return "given up, it crashes workers";
     case loss_cause::failed_run:
         return "failed by itself";
-    case loss_cause::advice:
+    case loss_cause::waiting_for_advice:
         return "waiting for advice";
-    case loss_cause::room:
+    case loss_cause::waiting_for_capacity:
         return "waiting for room";
-    case loss_cause::never_began:
+    case loss_cause::never_started:
         return "never began";
     }
     return "unknown";
@@ -75,62 +75,62 @@
         facts.status = number_of(line, "status");
         facts.slack_ms = number_of(line, "slack_ms");
         facts.order = line.contains("order") && line["order"] == true;
-        take(facts);
+        process_line(facts);
     }
 }
 
-void loss_reader::take(const log_line& line)
+void loss_reader::process_line(const log_line& line)
 {
     m_first = m_first < 0 ? line.at : std::min(m_first, line.at);
     take_leader_line(line);
-    const bool of_submission =
+    const bool has_submission_id =
         line.id.size() == id_digits && line.id.find_first_not_of("0123456789abcdef") == std::string::npos;
-    if (!of_submission)
+    if (!has_submission_id)
     {
         return;
     }
     const auto [found, added] = m_records.try_emplace(line.id);
-    record& of = found->second;
-    of.first = added ? line.at : of.first;
+    submission_record& submission = found->second;
+    submission.first = added ? line.at : submission.first;
     if (line.event == "submission_taken")
     {
-        of.queue = line.queue;
-        of.taken = of.taken < 0 ? line.at : of.taken;
-        of.ready = of.taken;
+        submission.queue = line.queue;
+        submission.accepted_at = submission.accepted_at < 0 ? line.at : submission.accepted_at;
+        submission.ready = submission.accepted_at;
     }
     else if (line.event == "request_not_served")
     {
-        of.refused = of.refused || (line.order && line.status >= too_many_requests);
+        submission.refused = submission.refused || (line.order && line.status >= too_many_requests);
     }
     else if (line.event == "advice_asked")
     {
-        of.advice_asked = line.at;
+        submission.advice_asked = line.at;
     }
-    else if (line.event == "advice_taken" && of.advice_asked >= 0)
+    else if (line.event == "advice_taken" && submission.advice_asked >= 0)
     {
-        of.in_advice += line.at - of.advice_asked;
-        of.advice_asked = -1;
+        submission.in_advice += line.at - submission.advice_asked;
+        submission.advice_asked = -1;
     }
     else if (line.event == "starts_planned")
     {
-        take_start(of, line);
+        record_start(submission, line);
     }
     else if (line.event == "run_ended")
     {
-        take_end(of, line);
+        record_end(submission, line);
     }
     else if (line.event == "run_absent")
     {
-        of.lost_host = true;
+        submission.lost_host = true;
     }
     else if (line.event == "run_lost")
     {
-        of.ready = line.at;
-        of.lost_host = of.lost_host || of.late_start < 0;
+        submission.ready = line.at;
+        submission.lost_host = submission.lost_host || submission.late_start < 0;
     }
     else if (line.event == "task_given_up")
     {
-        of.given_up = true;
+        submission.given_up = true;
     }
 }
 
@@ -143,41 +143,41 @@
         m_leaderless.push_back({m_leader_line, line.at});
     }
     m_leader = leads ? line.process : m_leader;
-    const bool of_work =
+    const bool is_work_event =
         line.event == "starts_planned" || line.event == "run_ended" || line.event == "submission_taken";
-    if (line.process == m_leader && (of_work || leads))
+    if (line.process == m_leader && (is_work_event || leads))
     {
         m_leader_line = std::max(m_leader_line, line.at);
     }
 }
 
-void loss_reader::take_start(record& of, const log_line& line)
+void loss_reader::record_start(submission_record& submission, const log_line& line)
 {
-    of.began = true;
-    if (line.slack_ms < 0 && of.late_start < 0)
+    submission.started = true;
+    if (line.slack_ms < 0 && submission.late_start < 0)
     {
-        of.late_start = line.at;
-        of.late_wait = {of.ready, line.at};
-        of.late_advice = of.in_advice;
+        submission.late_start = line.at;
+        submission.late_wait = {submission.ready, line.at};
+        submission.late_advice = submission.in_advice;
     }
-    of.in_advice = 0;
-    of.ready = line.at;
+    submission.in_advice = 0;
+    submission.ready = line.at;
 }
 
-void loss_reader::take_end(record& of, const log_line& line)
+void loss_reader::record_end(submission_record& submission, const log_line& line)
 {
     const std::string& how = line.how;
-    of.ready = line.at;
-    of.in_advice = 0;
-    const bool before_late = of.late_start < 0;
-    of.lost_host = of.lost_host || (before_late && (how == "lapsed" || how == "never_began"));
-    of.failed_run = of.failed_run || (before_late && (how == "failed" || how == "broken"));
+    submission.ready = line.at;
+    submission.in_advice = 0;
+    const bool before_late = submission.late_start < 0;
+    submission.lost_host = submission.lost_host || (before_late && (how == "lapsed" || how == "never_began"));
+    submission.failed_run = submission.failed_run || (before_late && (how == "failed" || how == "broken"));
 }
 
-std::int64_t loss_reader::leaderless_within(const wait& span) const
+std::int64_t loss_reader::leaderless_within(const time_span& span) const
 {
     std::int64_t sum = 0;
-    for (const wait& gap : m_leaderless)
+    for (const time_span& gap : m_leaderless)
     {
         sum += std::max<std::int64_t>(0, std::min(gap.to, span.to) - std::max(gap.from, span.from));
     }
@@ -186,50 +186,55 @@
 
 // Losses and failures of runs take precedence over waits for advice or capacity; of the waits, the one that
 // accounts for at least half of the time is reported.
-loss_cause loss_reader::cause_of(const record& of) const
+loss_cause loss_reader::cause_of(const submission_record& submission) const
 {
-    if (of.taken < 0)
+    if (submission.accepted_at < 0)
     {
         return loss_cause::refused;
     }
-    if (of.given_up)
+    if (submission.given_up)
     {
         return loss_cause::given_up;
     }
-    if (of.late_start < 0)
+    if (submission.late_start < 0)
     {
-        return loss_cause::never_began;
+        return loss_cause::never_started;
     }
-    const wait whole{of.first, of.late_start};
-    const std::int64_t leaderless = leaderless_within(whole);
-    const std::int64_t waited = std::max<std::int64_t>(of.late_wait.to - of.late_wait.from, 1);
+    const time_span total_wait{submission.first, submission.late_start};
+    const std::int64_t leaderless = leaderless_within(total_wait);
+    const std::int64_t waited =
+        std::max<std::int64_t>(submission.late_wait.to - submission.late_wait.from, 1);
     if (leaderless * 2 >= waited && leaderless > 0)
     {
         return loss_cause::no_leader;
     }
-    if (of.lost_host)
+    if (submission.lost_host)
     {
         return loss_cause::lost_host;
     }
-    if (of.failed_run)
+    if (submission.failed_run)
     {
         return loss_cause::failed_run;
     }
-    return of.late_advice * 2 >= waited ? loss_cause::advice : loss_cause::room;
+    return submission.late_advice * 2 >= waited ? loss_cause::waiting_for_advice
+                                                : loss_cause::waiting_for_capacity;
 }
 
-loss_report loss_reader::conclude() const
+loss_report loss_reader::analyze() const
 {
     loss_report out;
     out.unreadable = m_unreadable;
-    for (const auto& [id, of] : m_records)
+    for (const auto& [id, submission] : m_records)
     {
-        const bool known = of.taken >= 0 || of.refused;
-        const bool lost = of.taken < 0 ? of.refused : !of.began || of.late_start >= 0 || of.given_up;
+        const bool known = submission.accepted_at >= 0 || submission.refused;
+        const bool lost = submission.accepted_at < 0
+                              ? submission.refused
+                              : !submission.started || submission.late_start >= 0 || submission.given_up;
         out.submissions += known ? 1 : 0;
         if (known && lost)
         {
-            out.losses.push_back({id, of.queue, (of.first - m_first) / 1000, cause_of(of)});
+            out.losses.push_back(
+                {id, submission.queue, (submission.first - m_first) / 1000, cause_of(submission)});
         }
     }
     std::stable_sort(out.losses.begin(), out.losses.end(),
--- a/src/observe/metrics.cpp
+++ b/src/observe/metrics.cpp
@@ -60,7 +60,7 @@
     m_commands.Add({{"organisation", organisation}, {"result", result}}).Increment();
 }
 
-void metrics::note_start(const std::string& kind, double waited_seconds)
+void metrics::observe_start_wait(const std::string& kind, double waited_seconds)
 {
     m_start_seconds.Add({{"kind", kind}}, second_buckets).Observe(waited_seconds);
 }
--- a/src/observe/story.cpp
+++ b/src/observe/story.cpp
@@ -28,9 +28,9 @@
     return found == line.fields.end() ? std::string{} : found->second;
 }
 
-std::size_t count_how(const story& of, const std::string& how)
+std::size_t count_how(const submission_history& history, const std::string& how)
 {
-    return static_cast<std::size_t>(std::count_if(of.lines.begin(), of.lines.end(),
+    return static_cast<std::size_t>(std::count_if(history.lines.begin(), history.lines.end(),
                                                   [&how](const story_line& line)
                                                   {
                                                       return line.event == "run_ended" &&
@@ -38,27 +38,27 @@
                                                   }));
 }
 
-std::size_t count_event(const story& of, const std::string& event)
+std::size_t count_event(const submission_history& history, const std::string& event)
 {
-    return static_cast<std::size_t>(std::count_if(of.lines.begin(), of.lines.end(),
+    return static_cast<std::size_t>(std::count_if(history.lines.begin(), history.lines.end(),
                                                   [&event](const story_line& line)
                                                   {
                                                       return line.event == event;
                                                   }));
 }
 
-const story_line* first_of(const story& of, const std::string& event)
+const story_line* first_of(const submission_history& history, const std::string& event)
 {
-    const auto found = std::find_if(of.lines.begin(), of.lines.end(),
+    const auto found = std::find_if(history.lines.begin(), history.lines.end(),
                                     [&event](const story_line& line)
                                     {
                                         return line.event == event;
                                     });
-    return found == of.lines.end() ? nullptr : &*found;
+    return found == history.lines.end() ? nullptr : &*found;
 }
 } // namespace
 
-void read_log(std::istream& log, const std::string& id, story& into)
+void read_log(std::istream& log, const std::string& id, submission_history& into)
 {
     std::string text;
     while (std::getline(log, text))
@@ -96,84 +96,85 @@
                 line.fields.emplace_back(name, text_of(value));
             }
         }
-        const bool for_it = field(line, "for").starts_with(id);
-        if (line.id.starts_with(id) || for_it)
+        const bool names_submission = field(line, "for").starts_with(id);
+        if (line.id.starts_with(id) || names_submission)
         {
             into.lines.push_back(std::move(line));
         }
     }
 }
 
-void conclude(story& of)
+void analyze(submission_history& history)
 {
-    std::stable_sort(of.lines.begin(), of.lines.end(),
+    std::stable_sort(history.lines.begin(), history.lines.end(),
                      [](const story_line& a, const story_line& b)
                      {
                          return a.at_ms < b.at_ms;
                      });
-    const story_line* taken = first_of(of, "submission_taken");
-    const story_line* planned = first_of(of, "starts_planned");
-    if (const story_line* refused = first_of(of, "request_not_served"))
+    const story_line* taken = first_of(history, "submission_taken");
+    const story_line* planned = first_of(history, "starts_planned");
+    if (const story_line* refused = first_of(history, "request_not_served"))
     {
-        of.conclusions.push_back("A caller was told " + field(*refused, "status") + " by " +
-                                 refused->process + ": " + field(*refused, "detail"));
+        history.conclusions.push_back("A caller was told " + field(*refused, "status") + " by " +
+                                      refused->process + ": " + field(*refused, "detail"));
     }
-    if (const std::size_t lapsed = count_how(of, "lapsed"); lapsed > 0)
+    if (const std::size_t lapsed = count_how(history, "lapsed"); lapsed > 0)
     {
-        of.conclusions.push_back(
+        history.conclusions.push_back(
             std::to_string(lapsed) +
             " runs ended because their worker's lease ran out; they were started again.");
     }
     const auto restarted =
-        std::count_if(of.lines.begin(), of.lines.end(),
+        std::count_if(history.lines.begin(), history.lines.end(),
                       [](const story_line& line)
                       {
                           return line.event == "run_absent" && field(line, "restarted") == "true";
                       });
     if (restarted > 0)
     {
-        of.conclusions.push_back(std::to_string(restarted) +
-                                 " runs ended as their worker started again under its id.");
+        history.conclusions.push_back(std::to_string(restarted) +
+                                      " runs ended as their worker started again under its id.");
     }
-    if (const std::size_t lost = count_event(of, "run_lost"); lost > 0)
+    if (const std::size_t lost = count_event(history, "run_lost"); lost > 0)
     {
-        of.conclusions.push_back(std::to_string(lost) + " runs were lost with their worker.");
+        history.conclusions.push_back(std::to_string(lost) + " runs were lost with their worker.");
     }
-    if (const story_line* given_up = first_of(of, "task_given_up"))
+    if (const story_line* given_up = first_of(history, "task_given_up"))
     {
-        of.conclusions.push_back(given_up->id + " was given up: " + field(*given_up, "crashes") +
-                                 " workers crashed under it, the last on " + field(*given_up, "last_host") +
-                                 '.');
+        history.conclusions.push_back(given_up->id + " was given up: " + field(*given_up, "crashes") +
+                                      " workers crashed under it, the last on " +
+                                      field(*given_up, "last_host") + '.');
     }
-    if (const std::size_t failed = count_how(of, "failed"); failed > 0)
+    if (const std::size_t failed = count_how(history, "failed"); failed > 0)
     {
-        of.conclusions.push_back(std::to_string(failed) + " runs failed by themselves or by their worker.");
+        history.conclusions.push_back(std::to_string(failed) +
+                                      " runs failed by themselves or by their worker.");
     }
-    if (const std::size_t absent = count_how(of, "never_began"); absent > 0)
+    if (const std::size_t absent = count_how(history, "never_began"); absent > 0)
     {
-        of.conclusions.push_back(std::to_string(absent) +
-                                 " starts were not carried out and were made again.");
+        history.conclusions.push_back(std::to_string(absent) +
+                                      " starts were not carried out and were made again.");
     }
     const auto preempted =
-        std::count_if(of.lines.begin(), of.lines.end(),
+        std::count_if(history.lines.begin(), history.lines.end(),
                       [](const story_line& line)
                       {
                           return line.event == "run_preempted" && field(line, "for") != line.id;
                       });
     if (preempted > 0)
     {
-        of.conclusions.push_back(std::to_string(preempted) +
-                                 " runs were stopped to make room for more urgent work.");
+        history.conclusions.push_back(std::to_string(preempted) +
+                                      " runs were stopped to make room for more urgent work.");
     }
     if (taken != nullptr && planned != nullptr)
     {
-        of.conclusions.push_back(
+        history.conclusions.push_back(
             "The first start was planned " + std::to_string(planned->at_ms - taken->at_ms) +
             " ms after it was taken, with " + field(*planned, "slack_ms") + " ms to spare.");
     }
     else if (taken != nullptr)
     {
-        of.conclusions.push_back("No start was planned in these logs.");
+        history.conclusions.push_back("No start was planned in these logs.");
     }
 }
 
--- a/src/replay/policies.cpp
+++ b/src/replay/policies.cpp
@@ -23,7 +23,7 @@
     return settings;
 }
 
-scheduler_settings without(bool scheduler_settings::*mechanism)
+scheduler_settings without_mechanism(bool scheduler_settings::*mechanism)
 {
     scheduler_settings settings;
     settings.*mechanism = false;
@@ -44,15 +44,15 @@
         {"walkthread", scheduler_settings{}},
         {"first_fit_fifo", first_fit_fifo()},
         {"random_choice", random_choice()},
-        {"no_urgency", without(&scheduler_settings::by_urgency)},
-        {"no_fairness", without(&scheduler_settings::fair)},
-        {"no_skipping", without(&scheduler_settings::skip_blocked)},
-        {"no_spreading", without(&scheduler_settings::spread_services)},
-        {"no_reservation", without(&scheduler_settings::reserve_for_gangs)},
-        {"no_backfill", without(&scheduler_settings::backfill)},
-        {"no_learning", without(&scheduler_settings::learn_run_times)},
-        {"no_preemption", without(&scheduler_settings::preempt)},
-        {"no_reclaim", without(&scheduler_settings::reclaim)},
+        {"no_urgency", without_mechanism(&scheduler_settings::by_urgency)},
+        {"no_fairness", without_mechanism(&scheduler_settings::fair)},
+        {"no_skipping", without_mechanism(&scheduler_settings::skip_blocked)},
+        {"no_spreading", without_mechanism(&scheduler_settings::spread_services)},
+        {"no_reservation", without_mechanism(&scheduler_settings::reserve_for_gangs)},
+        {"no_backfill", without_mechanism(&scheduler_settings::backfill)},
+        {"no_learning", without_mechanism(&scheduler_settings::learn_run_times)},
+        {"no_preemption", without_mechanism(&scheduler_settings::preempt)},
+        {"no_reclaim", without_mechanism(&scheduler_settings::reclaim)},
         {"no_ageing", without_ageing()},
     };
     return all;
@@ -83,16 +83,17 @@
     return what == "never_started" ? std::optional(static_cast<double>(waits.never_started)) : std::nullopt;
 }
 
-std::string judge(const expectation& wanted, const replay_report& got, const replay_report* other)
+std::string check_expectation(const expectation& wanted, const replay_report& got, const replay_report* other)
 {
-    const std::optional<double> value = got.figure(wanted.metric);
-    const std::optional<double> base = other == nullptr ? std::optional(1.0) : other->figure(wanted.metric);
+    const std::optional<double> value = got.find_metric(wanted.metric);
+    const std::optional<double> base =
+        other == nullptr ? std::optional(1.0) : other->find_metric(wanted.metric);
     if (!value || !base)
     {
         return "Unknown metric: " + wanted.metric + '.';
     }
     const double compared = other == nullptr ? *value : *value / *base;
-    if (compared >= wanted.least && compared <= wanted.most)
+    if (compared >= wanted.min_value && compared <= wanted.max_value)
     {
         return {};
     }
@@ -100,26 +101,27 @@
     out << wanted.metric << " of " << wanted.policy << " is " << *value;
     if (other != nullptr)
     {
-        out << ", " << compared << " times that of " << wanted.of;
+        out << ", " << compared << " times that of " << wanted.baseline_policy;
     }
-    out << "; expected: " << wanted.least << " to " << wanted.most << '.';
+    out << "; expected: " << wanted.min_value << " to " << wanted.max_value << '.';
     return out.str();
 }
 } // namespace
 
-std::optional<double> replay_report::figure(const std::string& metric) const
+std::optional<double> replay_report::find_metric(const std::string& metric) const
 {
-    const std::map<std::string, double> plain{{"packing", packing},
-                                              {"worst_share", worst_share},
-                                              {"preemptions", static_cast<double>(preemptions)},
-                                              {"lost_core_hours", lost_core_hours},
-                                              {"jobs_completed", static_cast<double>(jobs_completed)},
-                                              {"jobs_held", static_cast<double>(jobs_held)},
-                                              {"placements", static_cast<double>(placements)},
-                                              {"failed_runs", static_cast<double>(failed_runs)},
-                                              {"hosts_per_placement", hosts_per_placement}};
-    const auto found = plain.find(metric);
-    return found != plain.end() ? std::optional(found->second) : wait_figure(*this, metric);
+    const std::map<std::string, double> metrics_by_name{
+        {"packing", packing},
+        {"worst_share", worst_share},
+        {"preemptions", static_cast<double>(preemptions)},
+        {"lost_core_hours", lost_core_hours},
+        {"jobs_completed", static_cast<double>(jobs_completed)},
+        {"jobs_held", static_cast<double>(jobs_held)},
+        {"placements", static_cast<double>(placements)},
+        {"failed_runs", static_cast<double>(failed_runs)},
+        {"hosts_per_placement", hosts_per_placement}};
+    const auto found = metrics_by_name.find(metric);
+    return found != metrics_by_name.end() ? std::optional(found->second) : wait_figure(*this, metric);
 }
 
 std::vector<std::string> policy_names()
@@ -158,9 +160,10 @@
     for (const expectation& wanted : recorded.expected)
     {
         const replay_report* got = report_of(wanted.policy);
-        const replay_report* other = wanted.of.empty() ? nullptr : report_of(wanted.of);
-        const bool unknown = got == nullptr || (other == nullptr && !wanted.of.empty());
-        const std::string sentence = unknown ? "Unknown policy." : judge(wanted, *got, other);
+        const replay_report* other =
+            wanted.baseline_policy.empty() ? nullptr : report_of(wanted.baseline_policy);
+        const bool unknown = got == nullptr || (other == nullptr && !wanted.baseline_policy.empty());
+        const std::string sentence = unknown ? "Unknown policy." : check_expectation(wanted, *got, other);
         if (!sentence.empty())
         {
             missed.push_back(sentence);
@@ -168,9 +171,9 @@
     }
     for (const auto& [policy, report] : reports)
     {
-        if (!report.broken.empty())
+        if (!report.invariant_violation.empty())
         {
-            missed.push_back(policy + ": " + report.broken);
+            missed.push_back(policy + ": " + report.invariant_violation);
         }
     }
     return missed;
--- a/src/replay/replay.cpp
+++ b/src/replay/replay.cpp
@@ -24,7 +24,7 @@
 constexpr double ms_per_hour = 3.6e6;
 
 /// An event that the replay generates, as opposed to one from the trace.
-struct step
+struct simulation_event
 {
     enum class kind : std::uint8_t
     {
@@ -41,7 +41,7 @@
     worker_epoch from{};
     run_event event{};
 
-    friend bool operator>(const step& a, const step& b)
+    friend bool operator>(const simulation_event& a, const simulation_event& b)
     {
         return std::pair(a.at, a.order) > std::pair(b.at, b.order);
     }
@@ -98,9 +98,10 @@
         return m_state.apply(now, command);
     }
 
-    void add_step(wall_ms at, step::kind what, const run_id& run, const worker_epoch& from, run_event event)
+    void add_step(wall_ms at, simulation_event::kind what, const run_id& run, const worker_epoch& from,
+                  run_event event)
     {
-        m_steps.push(step{at, ++m_order, what, run, from, event});
+        m_pending_events.push(simulation_event{at, ++m_order, what, run, from, event});
     }
 
     // Events of the trace
@@ -146,9 +147,9 @@
         for (std::uint32_t id = lost.first; id <= lost.last; ++id)
         {
             const worker_id worker{id};
-            m_dead.insert(worker);
-            add_step(now + lease_over, step::kind::lost, {}, {worker, m_state.workers().at(worker).epoch},
-                     {});
+            m_lost_workers.insert(worker);
+            add_step(now + lease_over, simulation_event::kind::lost, {},
+                     {worker, m_state.workers().at(worker).epoch}, {});
         }
     }
 
@@ -165,36 +166,36 @@
 
     void run_steps(wall_ms now)
     {
-        while (!m_steps.empty() && m_steps.top().at <= now)
+        while (!m_pending_events.empty() && m_pending_events.top().at <= now)
         {
-            const step s = m_steps.top();
-            m_steps.pop();
+            const simulation_event s = m_pending_events.top();
+            m_pending_events.pop();
             handle(s);
         }
     }
 
-    void handle(const step& s)
+    void handle(const simulation_event& s)
     {
-        if (s.what == step::kind::lost)
+        if (s.what == simulation_event::kind::lost)
         {
             count_lost_work(s.from.worker, s.at);
             apply(s.at, lose_workers{{s.from}});
             return;
         }
-        if (s.what == step::kind::probe)
+        if (s.what == simulation_event::kind::probe)
         {
             apply(s.at, probe_workers{{s.from.worker}});
             return;
         }
-        if (m_dead.contains(s.from.worker) || !is_present(s))
+        if (m_lost_workers.contains(s.from.worker) || !is_current_run(s))
         {
             return;
         }
-        if (s.what == step::kind::started)
+        if (s.what == simulation_event::kind::started)
         {
-            note_start(s);
+            on_run_started(s);
         }
-        if (s.what == step::kind::stopped)
+        if (s.what == simulation_event::kind::stopped)
         {
             note_stop(s);
         }
@@ -202,7 +203,7 @@
         apply(s.at, report_runs{{{s.run, s.from, static_cast<std::uint8_t>(s.event), 0}}});
     }
 
-    bool is_present(const step& s) const
+    bool is_current_run(const simulation_event& s) const
     {
         const auto job = m_state.jobs().find(s.run.task.job);
         if (job == m_state.jobs().end())
@@ -213,31 +214,32 @@
         return task.on_host() && task.run == s.run.run;
     }
 
-    void note_start(const step& s)
+    void on_run_started(const simulation_event& s)
     {
-        task_memory& memory = m_memory[s.run.task.job][s.run.task.index];
-        memory.first_start = memory.first_start < 0 ? s.at : memory.first_start;
-        memory.left = memory.left < 0 ? m_actual_ms[s.run.task.job] : memory.left;
+        task_memory& progress = m_memory[s.run.task.job][s.run.task.index];
+        progress.first_start = progress.first_start < 0 ? s.at : progress.first_start;
+        progress.left = progress.left < 0 ? m_actual_ms[s.run.task.job] : progress.left;
         if (m_failing.contains(s.from.worker))
         {
-            add_step(s.at + failure_delay, step::kind::ended, s.run, s.from, run_event::failed);
+            add_step(s.at + failure_delay, simulation_event::kind::ended, s.run, s.from, run_event::failed);
         }
         else
         {
-            add_step(s.at + memory.left, step::kind::ended, s.run, s.from, run_event::completed);
+            add_step(s.at + progress.left, simulation_event::kind::ended, s.run, s.from,
+                     run_event::completed);
         }
     }
 
     // A checkpoint preserves the completed work; a stop without one loses it.
-    void note_stop(const step& s)
+    void note_stop(const simulation_event& s)
     {
         const hall_job& job = m_state.jobs().at(s.run.task.job);
         const task_record& task = job.tasks[s.run.task.index];
         const wall_ms done = std::max<wall_ms>(s.at - task.since, 0);
-        task_memory& memory = m_memory[s.run.task.job][s.run.task.index];
-        if (s.event == run_event::checkpointed && memory.left > 0)
+        task_memory& progress = m_memory[s.run.task.job][s.run.task.index];
+        if (s.event == run_event::checkpointed && progress.left > 0)
         {
-            memory.left = std::max<wall_ms>(memory.left - done, 1);
+            progress.left = std::max<wall_ms>(progress.left - done, 1);
         }
     }
 
@@ -276,9 +278,9 @@
         {
             return;
         }
-        const bool keeps = job.spec.repeatable && !job.cancelled;
-        const run_event event = keeps ? run_event::checkpointed : run_event::stopped;
-        add_step(now + stop_delay, step::kind::stopped, run, {worker.id, worker.epoch}, event);
+        const bool can_checkpoint = job.spec.repeatable && !job.cancelled;
+        const run_event event = can_checkpoint ? run_event::checkpointed : run_event::stopped;
+        add_step(now + stop_delay, simulation_event::kind::stopped, run, {worker.id, worker.epoch}, event);
     }
 
     // Scheduling
@@ -307,9 +309,10 @@
         apply(now, place_tasks{made.placements});
         for (const placement& p : made.placements)
         {
-            add_step(now + start_delay, step::kind::started, p.run, {p.worker, p.epoch}, run_event::started);
+            add_step(now + start_delay, simulation_event::kind::started, p.run, {p.worker, p.epoch},
+                     run_event::started);
         }
-        m_broken = m_broken.empty() ? m_state.check() : m_broken;
+        m_invariant_violation = m_invariant_violation.empty() ? m_state.check() : m_invariant_violation;
     }
 
     void watch_quarantine(const hall_changes& changes, wall_ms now)
@@ -321,7 +324,7 @@
             {
                 m_probed[id] = worker.quarantines;
                 const wall_ms wait = probe_after << std::min(worker.quarantines - 1, 6U);
-                add_step(now + wait, step::kind::probe, {}, {id, worker.epoch}, {});
+                add_step(now + wait, simulation_event::kind::probe, {}, {id, worker.epoch}, {});
             }
         }
     }
@@ -333,9 +336,9 @@
         {
             next = std::min(next, m_trace.events[next_event].at);
         }
-        if (!m_steps.empty())
+        if (!m_pending_events.empty())
         {
-            next = std::min(next, m_steps.top().at);
+            next = std::min(next, m_pending_events.top().at);
         }
         if (const_cast<scheduler&>(m_scheduler).waiting() > 0)
         {
@@ -368,7 +371,7 @@
 
     void sample_shares(double weight)
     {
-        constexpr double due = 0.5;
+        constexpr double fair_share = 0.5;
         double worst = 1.0;
         std::set<organisation_id> waiting;
         for (const auto& [id, job] : m_state.jobs())
@@ -385,7 +388,7 @@
         for (const organisation_id organisation : waiting)
         {
             const double share = dominant_share(m_state.used_by(organisation), m_state.capacity());
-            worst = std::min(worst, share / due);
+            worst = std::min(worst, share / fair_share);
         }
         m_worst_share += weight * worst;
         m_share_span += weight;
@@ -400,15 +403,15 @@
         {
             const std::string group =
                 std::to_string(job.spec.organisation.value()) + '/' + to_string(job.spec.workload());
-            for (const task_memory& memory : m_memory[id])
+            for (const task_memory& progress : m_memory[id])
             {
-                if (memory.first_start < 0 && job.cancelled)
+                if (progress.first_start < 0 && job.cancelled)
                 {
                     continue;
                 }
-                const wall_ms until = memory.first_start < 0 ? m_trace.end : memory.first_start;
+                const wall_ms until = progress.first_start < 0 ? m_trace.end : progress.first_start;
                 const double waited = static_cast<double>(until - job.spec.submitted) / ms_per_second;
-                out.waits[group].never_started += memory.first_start < 0 ? 1 : 0;
+                out.waits[group].never_started += progress.first_start < 0 ? 1 : 0;
                 waits[group].push_back(waited);
                 if (job.spec.values.urgency >= urgent)
                 {
@@ -431,7 +434,7 @@
         out.lost_core_hours = m_lost_core_hours;
         out.hosts_per_placement = static_cast<double>(m_scheduler.hosts_looked_at()) /
                                   static_cast<double>(std::max<std::uint64_t>(counters.placements, 1));
-        out.broken = m_broken;
+        out.invariant_violation = m_invariant_violation;
         return out;
     }
 
@@ -454,14 +457,14 @@
     scheduler m_scheduler;
     std::map<std::string, std::vector<job_id>> m_by_name;
     std::string m_policy;
-    std::priority_queue<step, std::vector<step>, std::greater<>> m_steps;
+    std::priority_queue<simulation_event, std::vector<simulation_event>, std::greater<>> m_pending_events;
     std::uint64_t m_order = 0;
     std::uint32_t m_workers = 0;
     std::uint64_t m_jobs = 0;
     std::map<job_id, wall_ms> m_actual_ms;
     std::map<job_id, std::vector<task_memory>> m_memory;
     std::set<run_id> m_stopping;
-    std::set<worker_id> m_dead;
+    std::set<worker_id> m_lost_workers;
     std::set<worker_id> m_failing;
     std::map<worker_id, std::uint32_t> m_probed;
     std::uint64_t m_failed_runs = 0;
@@ -471,7 +474,7 @@
     double m_packing_span = 0.0;
     double m_worst_share = 0.0;
     double m_share_span = 0.0;
-    std::string m_broken;
+    std::string m_invariant_violation;
 };
 } // namespace
 
--- a/src/replay/trace.cpp
+++ b/src/replay/trace.cpp
@@ -73,9 +73,9 @@
     expectation out;
     out.metric = from.at("metric").get<std::string>();
     out.policy = from.value("policy", out.policy);
-    out.of = from.value("of", out.of);
-    out.least = from.value("least", out.least);
-    out.most = from.value("most", out.most);
+    out.baseline_policy = from.value("of", out.baseline_policy);
+    out.min_value = from.value("least", out.min_value);
+    out.max_value = from.value("most", out.max_value);
     return out;
 }
 
--- a/src/routing/endpoints.cpp
+++ b/src/routing/endpoints.cpp
@@ -11,32 +11,32 @@
 {
 }
 
-void endpoint_directory::set(hall_id hall, const service_endpoints& news)
+void endpoint_directory::set(hall_id hall, const service_endpoints& update)
 {
-    auto& known = m_services[{news.organisation, news.service}];
-    std::vector<endpoint_key>& told = m_told[{hall, news.job}];
-    const auto still_there = [&news](const endpoint_key& key)
+    auto& known = m_services[{update.organisation, update.service}];
+    std::vector<endpoint_key>& reported_endpoints = m_reported_endpoints[{hall, update.job}];
+    const auto still_listed = [&update](const endpoint_key& key)
     {
-        return std::any_of(news.endpoints.begin(), news.endpoints.end(),
+        return std::any_of(update.endpoints.begin(), update.endpoints.end(),
                            [&key](const endpoint& e)
                            {
                                return e.key() == key;
                            });
     };
-    for (const endpoint_key& key : told)
+    for (const endpoint_key& key : reported_endpoints)
     {
-        if (!still_there(key))
+        if (!still_listed(key))
         {
             known.erase(key);
         }
     }
-    told.clear();
-    for (const endpoint& item : news.endpoints)
+    reported_endpoints.clear();
+    for (const endpoint& item : update.endpoints)
     {
         endpoint_state& state = known[item.key()];
         state.where = item;
         state.hall = hall;
-        told.push_back(item.key());
+        reported_endpoints.push_back(item.key());
     }
 }
 
@@ -50,7 +50,7 @@
                           return item.second.hall == hall;
                       });
     }
-    std::erase_if(m_told,
+    std::erase_if(m_reported_endpoints,
                   [hall](const auto& item)
                   {
                       return item.first.first == hall;
@@ -59,19 +59,20 @@
 
 void endpoint_directory::confirm(hall_id hall, monotonic_time at)
 {
-    monotonic_time& confirmed = m_confirmed[hall];
+    monotonic_time& confirmed = m_last_confirmation[hall];
     confirmed = std::max(confirmed, at);
 }
 
 bool endpoint_directory::usable(const endpoint_state& state, const std::vector<endpoint_key>& tried,
                                 monotonic_time now) const
 {
-    const auto confirmed = m_confirmed.find(state.hall);
-    const bool fresh = confirmed != m_confirmed.end() && now - confirmed->second < m_staleness;
+    const auto confirmed = m_last_confirmation.find(state.hall);
+    const bool fresh = confirmed != m_last_confirmation.end() && now - confirmed->second < m_staleness;
     const auto connections = m_connections.find(state.where.worker);
-    const bool room = connections == m_connections.end() || connections->second < m_worker_connections;
+    const bool has_connection_capacity =
+        connections == m_connections.end() || connections->second < m_worker_connections;
     const bool untried = std::find(tried.begin(), tried.end(), state.where.key()) == tried.end();
-    return fresh && room && untried && now >= state.avoid_until;
+    return fresh && has_connection_capacity && untried && now >= state.avoid_until;
 }
 
 std::optional<endpoint> endpoint_directory::begin(const service_key& service, std::uint64_t hash,
@@ -126,7 +127,7 @@
     endpoint_state& known = state->second;
     known.outstanding -= known.outstanding > 0 ? 1 : 0;
     known.broken_in_a_row = verdict == endpoint_verdict::broken ? known.broken_in_a_row + 1 : 0;
-    if (known.broken_in_a_row >= suspect_after)
+    if (known.broken_in_a_row >= suspect_threshold)
     {
         known.suspect_until = now + avoid_time;
     }
--- a/src/routing/limits.cpp
+++ b/src/routing/limits.cpp
@@ -24,14 +24,14 @@
 
 double rate_limit::tokens_at(monotonic_time now) const
 {
-    const double passed = to_seconds(std::max(now - m_at, duration{0}));
+    const double passed = to_seconds(std::max(now - m_updated_at, duration{0}));
     return std::min(m_burst, m_tokens + passed * m_per_second);
 }
 
 bool rate_limit::take(monotonic_time now)
 {
     m_tokens = tokens_at(now);
-    m_at = now;
+    m_updated_at = now;
     if (m_tokens < 1.0)
     {
         return false;
@@ -48,7 +48,7 @@
 
 void retry_budget::on_request()
 {
-    m_saved = std::min(most, m_saved + ratio);
+    m_saved = std::min(max_saved, m_saved + ratio);
 }
 
 bool retry_budget::take()
--- a/src/routing/request_key.cpp
+++ b/src/routing/request_key.cpp
@@ -35,9 +35,9 @@
     std::size_t digits = 0;
     for (std::size_t i = 0; i < key.size(); ++i)
     {
-        const bool good =
+        const bool valid_character =
             is_dash_position(i) ? key[i] == '-' : std::isxdigit(static_cast<unsigned char>(key[i])) != 0;
-        if (!good)
+        if (!valid_character)
         {
             return std::nullopt;
         }
--- a/tests/src/unit-losses.cpp
+++ b/tests/src/unit-losses.cpp
@@ -31,7 +31,7 @@
         loss_reader reader;
         std::istringstream in(m_text);
         reader.read(in);
-        return reader.conclude();
+        return reader.analyze();
     }
 
   private:
@@ -41,18 +41,19 @@
 const std::string first = "6a6ced0a302f6003";
 const std::string second = "7b6ced0a302f6003";
 
-log_text begun()
+log_text log_with_leader()
 {
     log_text out;
     out.line(0, "core-1", "leading", "", "\"term\":1");
     return out;
 }
-log_text& taken(log_text& log, std::int64_t at, const std::string& id, const std::string& process = "core-1")
+log_text& add_accepted(log_text& log, std::int64_t at, const std::string& id,
+                       const std::string& process = "core-1")
 {
     return log.line(at, process, "submission_taken", id, "\"queue\":\"loans\"");
 }
-log_text& planned(log_text& log, std::int64_t at, const std::string& id, std::int64_t slack,
-                  const std::string& process = "core-1")
+log_text& add_planned(log_text& log, std::int64_t at, const std::string& id, std::int64_t slack,
+                      const std::string& process = "core-1")
 {
     return log.line(at, process, "starts_planned", id + ".0.0", "\"slack_ms\":" + std::to_string(slack));
 }
@@ -60,38 +61,38 @@
 
 BOOST_AUTO_TEST_CASE(what_is_on_time_is_no_loss)
 {
-    log_text log = begun();
-    taken(log, 100, first);
-    planned(log, 130, first, 800);
+    log_text log = log_with_leader();
+    add_accepted(log, 100, first);
+    add_planned(log, 130, first, 800);
     BOOST_TEST(log.report().submissions == 1U);
     BOOST_TEST(log.report().losses.empty());
 }
 
 BOOST_AUTO_TEST_CASE(a_wait_for_advice_or_room_is_told_apart)
 {
-    log_text log = begun();
-    taken(log, 100, first);
+    log_text log = log_with_leader();
+    add_accepted(log, 100, first);
     log.line(110, "core-1", "advice_asked", first + ".0.0")
         .line(1900, "core-1", "advice_taken", first + ".0.0");
-    planned(log, 2000, first, -50);
-    taken(log, 100, second);
+    add_planned(log, 2000, first, -50);
+    add_accepted(log, 100, second);
     log.line(110, "core-1", "advice_asked", second + ".0.0")
         .line(300, "core-1", "advice_taken", second + ".0.0");
-    planned(log, 2000, second, -50);
+    add_planned(log, 2000, second, -50);
     const loss_report report = log.report();
     BOOST_REQUIRE(report.losses.size() == 2U);
-    BOOST_TEST((report.losses[0].cause == loss_cause::advice));
-    BOOST_TEST((report.losses[1].cause == loss_cause::room));
+    BOOST_TEST((report.losses[0].cause == loss_cause::waiting_for_advice));
+    BOOST_TEST((report.losses[1].cause == loss_cause::waiting_for_capacity));
     BOOST_TEST(report.losses[0].queue == "loans");
     BOOST_TEST(report.losses[0].second == 0);
 }
 
 BOOST_AUTO_TEST_CASE(seconds_without_a_leader_are_found)
 {
-    log_text log = begun();
-    taken(log, 900, first);
+    log_text log = log_with_leader();
+    add_accepted(log, 900, first);
     log.line(3000, "core-2", "leading", "", "\"term\":2");
-    planned(log, 3050, first, -400, "core-2");
+    add_planned(log, 3050, first, -400, "core-2");
     const loss_report report = log.report();
     BOOST_REQUIRE(report.losses.size() == 1U);
     BOOST_TEST((report.losses.front().cause == loss_cause::no_leader));
@@ -99,15 +100,15 @@
 
 BOOST_AUTO_TEST_CASE(lost_hosts_and_failures_count_before_the_wait_behind_them)
 {
-    log_text log = begun();
-    taken(log, 100, first);
-    planned(log, 120, first, 900);
+    log_text log = log_with_leader();
+    add_accepted(log, 100, first);
+    add_planned(log, 120, first, 900);
     log.line(5000, "core-1", "run_ended", first + ".0.0.0/1", "\"how\":\"lapsed\"");
-    planned(log, 5010, first, -3000);
-    taken(log, 6000, second);
-    planned(log, 6020, second, 900);
+    add_planned(log, 5010, first, -3000);
+    add_accepted(log, 6000, second);
+    add_planned(log, 6020, second, 900);
     log.line(7000, "core-1", "run_ended", second + ".0.0.0/1", "\"how\":\"failed\"");
-    planned(log, 7010, second, -10);
+    add_planned(log, 7010, second, -10);
     const loss_report report = log.report();
     BOOST_REQUIRE(report.losses.size() == 2U);
     BOOST_TEST((report.losses[0].cause == loss_cause::lost_host));
@@ -117,11 +118,11 @@
 
 BOOST_AUTO_TEST_CASE(what_was_refused_and_never_taken_is_unserved)
 {
-    log_text log = begun();
+    log_text log = log_with_leader();
     log.line(500, "edge-1", "request_not_served", first, "\"status\":503,\"order\":true");
     log.line(600, "edge-1", "request_not_served", second, "\"status\":503,\"order\":true");
-    taken(log, 700, second);
-    planned(log, 710, second, 300);
+    add_accepted(log, 700, second);
+    add_planned(log, 710, second, 300);
     log.line(800, "edge-1", "request_not_served", "ffff111122223333", "\"status\":410,\"order\":false");
     const loss_report report = log.report();
     BOOST_REQUIRE(report.losses.size() == 1U);
@@ -133,27 +134,27 @@
 // A truncated log that contains lines of other programs is still analyzed.
 BOOST_AUTO_TEST_CASE(cut_and_foreign_lines_are_counted_and_left_out)
 {
-    log_text log = begun();
+    log_text log = log_with_leader();
     log.raw("a line without anything").raw("  2.0 core-1 {\"t\":12,\"event\":").raw("{\"t\":\"x\"}").raw("");
-    taken(log, 100, first);
+    add_accepted(log, 100, first);
     const loss_report report = log.report();
     BOOST_TEST(report.unreadable == 3U);
     BOOST_REQUIRE(report.losses.size() == 1U);
-    BOOST_TEST((report.losses.front().cause == loss_cause::never_began));
+    BOOST_TEST((report.losses.front().cause == loss_cause::never_started));
 }
 
 // Runs that are lost with their worker have a `run_lost` line but no `run_ended` line.
 BOOST_AUTO_TEST_CASE(a_task_that_crashes_workers_is_told_from_what_stood_beside)
 {
-    log_text log = begun();
-    taken(log, 100, first);
-    taken(log, 110, second);
-    planned(log, 130, first, 800);
-    planned(log, 140, second, 700);
+    log_text log = log_with_leader();
+    add_accepted(log, 100, first);
+    add_accepted(log, 110, second);
+    add_planned(log, 130, first, 800);
+    add_planned(log, 140, second, 700);
     log.line(3200, "core-1", "run_lost", first + ".0.0.0/1", "\"blame\":22");
     log.line(3200, "core-1", "run_lost", second + ".0.0.1/1", "\"blame\":6");
-    planned(log, 3210, first, -2300);
-    planned(log, 3220, second, -2400);
+    add_planned(log, 3210, first, -2300);
+    add_planned(log, 3220, second, -2400);
     log.line(6500, "core-1", "run_lost", first + ".0.0.0/2", "\"blame\":22");
     log.line(6510, "core-1", "task_given_up", first + ".0.0.0", "\"crashes\":2");
     const loss_report report = log.report();
--- a/tests/src/unit-routing.cpp
+++ b/tests/src/unit-routing.cpp
@@ -12,7 +12,7 @@
 const endpoint_directory::service_key service{organisation_id{1}, "solve"};
 constexpr monotonic_time start{seconds(100)};
 
-service_endpoints told(std::uint32_t count, std::uint32_t workers = 100)
+service_endpoints reported_endpoints(std::uint32_t count, std::uint32_t workers = 100)
 {
     service_endpoints out{organisation_id{1}, "solve", job_id{1}, {}};
     for (std::uint32_t i = 0; i < count; ++i)
@@ -25,7 +25,7 @@
 endpoint_directory make_directory(std::uint32_t count, std::uint32_t workers = 100)
 {
     endpoint_directory directory(two_random_choices(1), seconds(5), 4);
-    directory.set(hall_id{1}, told(count, workers));
+    directory.set(hall_id{1}, reported_endpoints(count, workers));
     directory.confirm(hall_id{1}, start);
     return directory;
 }
@@ -43,7 +43,7 @@
 BOOST_AUTO_TEST_CASE(an_endpoint_that_is_told_no_more_gets_nothing)
 {
     endpoint_directory directory = make_directory(2);
-    directory.set(hall_id{1}, told(1));
+    directory.set(hall_id{1}, reported_endpoints(1));
     for (int i = 0; i < 4; ++i)
     {
         BOOST_TEST(directory.begin(service, 0, {}, start)->run.task.index == 0U);
@@ -54,7 +54,7 @@
 BOOST_AUTO_TEST_CASE(the_tasks_of_one_hall_neither_hide_nor_take_away_those_of_another)
 {
     endpoint_directory directory = make_directory(2);
-    service_endpoints other = told(2);
+    service_endpoints other = reported_endpoints(2);
     for (endpoint& item : other.endpoints)
     {
         item.worker = worker_id{item.worker.value() + 100};
@@ -120,7 +120,7 @@
         budget.on_request();
         retries += budget.take() ? 1 : 0;
     }
-    BOOST_TEST(retries <= 1000 * retry_budget::ratio + retry_budget::most);
+    BOOST_TEST(retries <= 1000 * retry_budget::ratio + retry_budget::max_saved);
     BOOST_TEST(retries >= 1000 * retry_budget::ratio - 1);
 }
 
@@ -159,7 +159,7 @@
         for (int g = 0; g < gateways; ++g)
         {
             views.emplace_back(make(g), seconds(1000), 1000);
-            views.back().set(hall_id{1}, told(endpoints));
+            views.back().set(hall_id{1}, reported_endpoints(endpoints));
             views.back().confirm(hall_id{1}, start);
         }
         std::uint64_t sum = 0;
@@ -182,7 +182,7 @@
                     auto& waiting = sent[from][e % endpoints];
                     if (!waiting.empty())
                     {
-                        views[from].end(service, waiting.back(), endpoint_verdict::good, start);
+                        views[from].end(service, waiting.back(), endpoint_verdict::healthy, start);
                         waiting.pop_back();
                         --queue[e % endpoints];
                         break;
--- a/tests/src/unit-story.cpp
+++ b/tests/src/unit-story.cpp
@@ -1,4 +1,4 @@
-#define BOOST_TEST_MODULE story
+#define BOOST_TEST_MODULE submission_history
 #include <boost/test/unit_test.hpp>
 
 #include <chrono>
@@ -16,7 +16,7 @@
 {
 // A recorded log: workers were partitioned from the leader, their leases expired, and three tasks were
 // started again on other workers. The last line is truncated.
-const char* const recorded = R"(
+const char* const recorded_log = R"(
    4.593 core-stgo-a-2 {"t":1773831691587,"process":"core-stgo-a-2","event":"submission_taken","id":"6a6ced0a302f6003","queue":"r-hyt7i7p","steps":2,"tasks":9,"gang":false,"lasting":false,"rounds":1}
   15.195 core-stgo-a-2 {"t":1773831702191,"process":"core-stgo-a-2","event":"run_ended","id":"6a6ced0a302f6003.0.0.0/1","worker":"i-99d87eca43","how":"lapsed","took_ms":9843,"number":101}
   15.195 core-stgo-a-2 {"t":1773831702191,"process":"core-stgo-a-2","event":"run_ended","id":"6a6ced0a302f6003.0.0.5/1","worker":"i-99d87eca43","how":"lapsed","took_ms":9843,"number":102}
@@ -46,10 +46,10 @@
 
 BOOST_AUTO_TEST_CASE(a_submissions_lines_come_in_order_with_the_cause)
 {
-    story found;
-    std::istringstream log(recorded);
+    submission_history found;
+    std::istringstream log(recorded_log);
     read_log(log, "6a6ced0a302f6003", found);
-    conclude(found);
+    analyze(found);
     BOOST_TEST(found.lines.size() == 5U);
     BOOST_TEST(found.unreadable == 1U);
     BOOST_TEST(found.lines.front().event == "submission_taken");
@@ -61,22 +61,22 @@
 
 BOOST_AUTO_TEST_CASE(a_refusal_is_named_with_who_said_it)
 {
-    story found;
+    submission_history found;
     std::istringstream log(
         R"({"t":1,"process":"edge-a-1","event":"request_not_served","id":"00000000000000aa","status":503,"detail":"No leader answered in time."})");
     read_log(log, "00000000000000aa", found);
-    conclude(found);
+    analyze(found);
     BOOST_TEST(found.conclusions.front() == "A caller was told 503 by edge-a-1: No leader answered in time.");
 }
 
 BOOST_AUTO_TEST_CASE(a_restart_of_the_worker_is_named)
 {
-    story found;
+    submission_history found;
     std::istringstream log(
         R"({"t":1,"process":"core-a-1","event":"run_absent","id":"00000000000000aa.0.0.1/1","worker":"i-1","born":5,"inherited":false,"restarted":true}
 {"t":2,"process":"core-a-1","event":"run_absent","id":"00000000000000aa.0.0.2/1","worker":"i-1","born":5,"inherited":true,"restarted":false})");
     read_log(log, "00000000000000aa", found);
-    conclude(found);
+    analyze(found);
     BOOST_TEST(found.conclusions.front() == "1 runs ended as their worker started again under its id.");
 }
 
@@ -106,12 +106,12 @@
     }
     BOOST_TEST(dropped >= 3U * 9'950U);
     BOOST_TEST(sink->lines.size() <= 3U * 50U + 4U);
-    std::size_t told = 0;
+    std::size_t drop_reports = 0;
     for (const std::string& line : sink->lines)
     {
-        told += line.find("log_lines_dropped") != std::string::npos ? 1 : 0;
+        drop_reports += line.find("log_lines_dropped") != std::string::npos ? 1 : 0;
     }
-    BOOST_TEST(told >= 1U);
+    BOOST_TEST(drop_reports >= 1U);
 }
 
 BOOST_AUTO_TEST_CASE(a_request_flood_does_not_crowd_out_lines_of_the_process)
