--- a/include/walkthread/settings/reader.hpp
+++ b/include/walkthread/settings/reader.hpp
@@ -27,13 +27,13 @@
     table_reader(const toml::table* table, std::string name, std::vector<settings_error>& errors);
 
     /// @brief Reads an optional integer.
-    [[nodiscard]] std::int64_t integer(const std::string& key, std::int64_t fallback, std::int64_t least,
-                                       std::int64_t most);
+    [[nodiscard]] std::int64_t integer(const std::string& key, std::int64_t fallback, std::int64_t min_value,
+                                       std::int64_t max_value);
     /// @brief Reads an integer whose absence is an error.
-    [[nodiscard]] std::int64_t required_integer(const std::string& key, std::int64_t least,
-                                                std::int64_t most);
+    [[nodiscard]] std::int64_t required_integer(const std::string& key, std::int64_t min_value,
+                                                std::int64_t max_value);
     /// @brief Reads an optional number, which may be an integer.
-    [[nodiscard]] double number(const std::string& key, double fallback, double least, double most);
+    [[nodiscard]] double number(const std::string& key, double fallback, double min_value, double max_value);
     /// @brief Reads an optional string.
     [[nodiscard]] std::string text(const std::string& key, const std::string& fallback);
     /// @brief Reads a string that must be present and not empty.
@@ -41,8 +41,8 @@
     /// @brief Reads an optional boolean.
     [[nodiscard]] bool flag(const std::string& key, bool fallback);
     /// @brief Reads an optional duration, given as an integer in milliseconds.
-    [[nodiscard]] milliseconds span(const std::string& key, milliseconds fallback, milliseconds least,
-                                    milliseconds most);
+    [[nodiscard]] milliseconds duration_in_ms(const std::string& key, milliseconds fallback,
+                                              milliseconds min_value, milliseconds max_value);
     /// @brief Reads an IPv4 address with a port.
     [[nodiscard]] socket_address address(const std::string& key, bool required);
     /// @brief Reads a required SHA-256 in lower-case hexadecimal.
@@ -50,14 +50,14 @@
     /// @brief Reads a required list of node numbers; invalid items are left out.
     [[nodiscard]] std::vector<node_id> nodes(const std::string& key);
     /// @brief Reads a required list of strings out of `allowed`; others are left out.
-    [[nodiscard]] std::vector<std::string> words(const std::string& key,
-                                                 const std::set<std::string>& allowed);
+    [[nodiscard]] std::vector<std::string> string_choices(const std::string& key,
+                                                          const std::set<std::string>& allowed);
     /// @brief Reads a nested table. @return null if it is missing or not a table
     [[nodiscard]] const toml::table* child(const std::string& key);
     /// @brief Reads a list of tables; empty if the key is missing.
     [[nodiscard]] std::vector<const toml::table*> children(const std::string& key);
     /// @brief Adds an error for every key of the table that was not read.
-    void finish();
+    void report_unknown_keys();
     /// @brief Adds an error. @param value the rejected value; empty if the key is missing
     void fail(const std::string& key, const std::string& value, const std::string& allowed);
 
@@ -67,7 +67,7 @@
     const toml::table* m_table;
     std::string m_name;
     std::vector<settings_error>& m_errors;
-    std::set<std::string> m_read;
+    std::set<std::string> m_known_keys;
 };
 
 } // namespace walkthread::detail
--- a/src/ctl/losses_command.cpp
+++ b/src/ctl/losses_command.cpp
@@ -13,7 +13,7 @@
 
 namespace
 {
-constexpr int exit_good = 0;
+constexpr int exit_success = 0;
 constexpr int exit_unreadable = 1;
 constexpr int exit_usage = 2;
 
@@ -67,15 +67,15 @@
 }
 } // namespace
 
-int run_losses(const std::vector<std::string>& words, bool as_table)
+int run_losses(const std::vector<std::string>& arguments, bool as_table)
 {
-    if (words.empty())
+    if (arguments.empty())
     {
         std::cerr << "losses takes log files: walkthreadctl losses LOG...\n";
         return exit_usage;
     }
     loss_reader reader;
-    for (const std::string& word : words)
+    for (const std::string& word : arguments)
     {
         std::ifstream file(word);
         if (word != "-" && !file)
@@ -87,7 +87,7 @@
     }
     const loss_report report = reader.analyze();
     as_table ? print_table(report) : print_json(report);
-    return exit_good;
+    return exit_success;
 }
 
 } // namespace walkthread::ctl
--- a/src/ctl/losses_command.hpp
+++ b/src/ctl/losses_command.hpp
@@ -12,6 +12,6 @@
 /// @param arguments the log files, `-` for standard input
 /// @param as_table whether to print tables instead of JSON
 /// @return the exit code: 0, 1 if a file cannot be read, 2 if no file is given
-int run_losses(const std::vector<std::string>& words, bool as_table);
+int run_losses(const std::vector<std::string>& arguments, bool as_table);
 
 } // namespace walkthread::ctl
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -26,19 +26,19 @@
 
 using namespace walkthread;
 using namespace walkthread::ctl;
-using words = std::vector<std::string>;
+using arguments = std::vector<std::string>;
 
 // Exit codes, as documented in docs/OPERATIONS.md.
-constexpr int exit_good = 0;
+constexpr int exit_success = 0;
 constexpr int exit_usage = 1;
-constexpr int exit_refused = 2;
+constexpr int exit_rejected = 2;
 constexpr int exit_unavailable = 3;
-constexpr int exit_open = 4;
+constexpr int exit_outcome_unknown = 4;
 
 constexpr int status_timed_out = 504;
 constexpr int status_unavailable = 503;
 constexpr int status_first_error = 400;
-constexpr std::chrono::milliseconds wait_step{500};
+constexpr std::chrono::milliseconds poll_interval{500};
 
 constexpr const char* usage = R"(Commands:
   template put NAME FILE            create or change a template
@@ -68,10 +68,10 @@
     connection_options connection;
     std::string request_id;
     bool table = true;
-    words command;
+    arguments command;
 };
 
-std::string fresh_request_id()
+std::string random_request_id()
 {
     std::random_device random;
     std::ostringstream out;
@@ -96,7 +96,7 @@
     TCLAP::ValueArg<std::string> request(
         "r", "request-id", "Id that makes retries idempotent; random by default", false, "", "id", line);
     TCLAP::ValuesConstraint<std::string>* forms = nullptr;
-    words allowed{"table", "json"};
+    arguments allowed{"table", "json"};
     TCLAP::ValuesConstraint<std::string> constraint(allowed);
     forms = &constraint;
     TCLAP::ValueArg<std::string> output("o", "output", "Output format", false, "table", forms, line);
@@ -117,7 +117,7 @@
         std::ifstream file(token.getValue());
         out.connection.token = first_line(file);
     }
-    out.request_id = request.isSet() ? request.getValue() : fresh_request_id();
+    out.request_id = request.isSet() ? request.getValue() : random_request_id();
     out.table = output.getValue() == "table";
     out.command = command.getValue();
     return out;
@@ -127,13 +127,13 @@
 {
     if (reply.status == status_timed_out)
     {
-        return exit_open;
+        return exit_outcome_unknown;
     }
     if (reply.status == 0 || reply.status == status_unavailable)
     {
         return exit_unavailable;
     }
-    return reply.status >= status_first_error ? exit_refused : exit_good;
+    return reply.status >= status_first_error ? exit_rejected : exit_success;
 }
 
 int print_error(const options& given, const http_reply& reply)
@@ -157,20 +157,20 @@
     return exit_code_of(reply);
 }
 
-int ask(const options& given, const std::string& method, const std::string& path,
-        const std::string& body = "")
+int send_and_print(const options& given, const std::string& method, const std::string& path,
+                   const std::string& body = "")
 {
     const http_reply reply = send_request(given.connection, method, path, body);
-    if (exit_code_of(reply) != exit_good)
+    if (exit_code_of(reply) != exit_success)
     {
         return print_error(given, reply);
     }
     print_document(reply.body, given.table);
-    return exit_good;
+    return exit_success;
 }
 
 // Reads a JSON body from a file or standard input; adds the request id if it has none.
-std::string body_from(const options& given, const std::string& path)
+std::string read_body(const options& given, const std::string& path)
 {
     std::ostringstream text;
     if (path == "-")
@@ -200,62 +200,62 @@
     while (true)
     {
         const http_reply reply = send_request(given.connection, "GET", "/v1/jobs", "");
-        if (exit_code_of(reply) != exit_good)
+        if (exit_code_of(reply) != exit_success)
         {
             return print_error(given, reply);
         }
         std::size_t running = 0;
-        nlohmann::json asked = nlohmann::json::array();
+        nlohmann::json selected = nlohmann::json::array();
         for (const auto& job : nlohmann::json::parse(reply.body))
         {
             const std::string id = std::to_string(job["job"].get<std::uint64_t>());
             if (std::find(given.command.begin() + 2, given.command.end(), id) != given.command.end())
             {
                 running += job["outcome"] == "running" ? 1 : 0;
-                asked.push_back(job);
+                selected.push_back(job);
             }
         }
         if (terminal)
         {
-            std::cerr << '\r' << asked.size() - running << " of " << asked.size() << " jobs have ended "
+            std::cerr << '\r' << selected.size() - running << " of " << selected.size() << " jobs have ended "
                       << std::flush;
         }
         if (running == 0)
         {
             std::cerr << (terminal ? "\n" : "");
-            print_document(asked.dump(), given.table);
-            return exit_good;
+            print_document(selected.dump(), given.table);
+            return exit_success;
         }
-        std::this_thread::sleep_for(wait_step);
+        std::this_thread::sleep_for(poll_interval);
     }
 }
 
-int cancel_jobs_of(const options& given)
+int cancel_listed_jobs(const options& given)
 {
     nlohmann::json body{{"request_id", given.request_id}, {"jobs", nlohmann::json::array()}};
     for (std::size_t i = 2; i < given.command.size(); ++i)
     {
         body["jobs"].push_back(std::stoull(given.command[i]));
     }
-    return ask(given, "POST", "/v1/jobs/cancel", body.dump());
+    return send_and_print(given, "POST", "/v1/jobs/cancel", body.dump());
 }
 
 int print_timeline(const options& given)
 {
-    const words& c = given.command;
+    const arguments& c = given.command;
     const std::string filter = c.size() == 3 ? "?" + c[1] + "=" + c[2] : "";
-    return ask(given, "GET", "/v1/timeline" + filter);
+    return send_and_print(given, "GET", "/v1/timeline" + filter);
 }
 
 int print_hash(const options&)
 {
     std::cout << sha256_hex(first_line(std::cin)) << '\n';
-    return exit_good;
+    return exit_success;
 }
 
 struct command_entry
 {
-    std::size_t least_words;
+    std::size_t min_arguments;
     std::function<int(const options&)> run;
 };
 
@@ -267,90 +267,92 @@
          {4,
           [](o g)
           {
-              return ask(g, "PUT", "/v1/templates/" + g.command[2], body_from(g, g.command[3]));
+              return send_and_print(g, "PUT", "/v1/templates/" + g.command[2], read_body(g, g.command[3]));
           }}},
         {"template list",
          {2,
           [](o g)
           {
-              return ask(g, "GET", "/v1/templates");
+              return send_and_print(g, "GET", "/v1/templates");
           }}},
         {"team put",
          {4,
           [](o g)
           {
-              return ask(g, "PUT", "/v1/teams/" + g.command[2], body_from(g, g.command[3]));
+              return send_and_print(g, "PUT", "/v1/teams/" + g.command[2], read_body(g, g.command[3]));
           }}},
         {"team list",
          {2,
           [](o g)
           {
-              return ask(g, "GET", "/v1/teams");
+              return send_and_print(g, "GET", "/v1/teams");
           }}},
         {"config submit",
          {4,
           [](o g)
           {
-              return ask(g, "PUT", "/v1/configurations/" + g.command[2], body_from(g, g.command[3]));
+              return send_and_print(g, "PUT", "/v1/configurations/" + g.command[2],
+                                    read_body(g, g.command[3]));
           }}},
         {"config list",
          {2,
           [](o g)
           {
-              return ask(g, "GET", "/v1/configurations");
+              return send_and_print(g, "GET", "/v1/configurations");
           }}},
         {"config get",
          {3,
           [](o g)
           {
-              return ask(g, "GET", "/v1/configurations/" + g.command[2]);
+              return send_and_print(g, "GET", "/v1/configurations/" + g.command[2]);
           }}},
         {"config withdraw",
          {4,
           [](o g)
           {
-              return ask(g, "DELETE",
-                         "/v1/configurations/" + g.command[2] + "?expected_version=" + g.command[3] +
-                             "&request_id=" + g.request_id);
+              return send_and_print(g, "DELETE",
+                                    "/v1/configurations/" + g.command[2] +
+                                        "?expected_version=" + g.command[3] + "&request_id=" + g.request_id);
           }}},
         {"config run",
          {3,
           [](o g)
           {
-              return ask(g, "POST",
-                         "/v1/configurations/" + g.command[2] + "/runs?request_id=" + g.request_id);
+              return send_and_print(
+                  g, "POST", "/v1/configurations/" + g.command[2] + "/runs?request_id=" + g.request_id);
           }}},
         {"jobs list",
          {2,
           [](o g)
           {
-              return ask(g, "GET", "/v1/jobs");
+              return send_and_print(g, "GET", "/v1/jobs");
           }}},
-        {"jobs cancel", {3, cancel_jobs_of}},
+        {"jobs cancel", {3, cancel_listed_jobs}},
         {"jobs wait", {3, wait_for_jobs}},
         {"hosts list",
          {2,
           [](o g)
           {
-              return ask(g, "GET", "/v1/hosts");
+              return send_and_print(g, "GET", "/v1/hosts");
           }}},
         {"hosts drain",
          {4,
           [](o g)
           {
-              return ask(g, "POST", "/v1/hosts/" + g.command[3] + "/drain?hall=" + g.command[2]);
+              return send_and_print(g, "POST", "/v1/hosts/" + g.command[3] + "/drain?hall=" + g.command[2]);
           }}},
         {"hosts return",
          {4,
           [](o g)
           {
-              return ask(g, "POST", "/v1/hosts/" + g.command[3] + "/drain?back=true&hall=" + g.command[2]);
+              return send_and_print(g, "POST",
+                                    "/v1/hosts/" + g.command[3] + "/drain?back=true&hall=" + g.command[2]);
           }}},
         {"members replace",
          {3,
           [](o g)
           {
-              return ask(g, "POST", "/v1/members/" + g.command[2] + "/replace");
+              return send_and_print(g, "POST", "/v1/members/" + g.command[2] + "/replace");
           }}},
     };
     return commands;
@@ -364,20 +366,20 @@
          {2,
           [](o g)
           {
-              return ask(g, "GET", "/v1/jobs/" + g.command[1] + "/explain");
+              return send_and_print(g, "GET", "/v1/jobs/" + g.command[1] + "/explain");
           }}},
         {"timeline", {1, print_timeline}},
         {"groups",
          {1,
           [](o g)
           {
-              return ask(g, "GET", "/v1/groups");
+              return send_and_print(g, "GET", "/v1/groups");
           }}},
         {"status",
          {1,
           [](o g)
           {
-              return ask(g, "GET", "/readyz");
+              return send_and_print(g, "GET", "/readyz");
           }}},
         {"hash", {1, print_hash}},
         {"replay",
@@ -402,16 +404,16 @@
     return commands;
 }
 
-int dispatch(const options& given)
+int run_command(const options& given)
 {
-    const words& c = given.command;
+    const arguments& c = given.command;
     const auto two = c.size() > 1 ? two_word_commands().find(c[0] + ' ' + c[1]) : two_word_commands().end();
-    if (two != two_word_commands().end() && c.size() >= two->second.least_words)
+    if (two != two_word_commands().end() && c.size() >= two->second.min_arguments)
     {
         return two->second.run(given);
     }
     const auto one = one_word_commands().find(c[0]);
-    if (one != one_word_commands().end() && c.size() >= one->second.least_words)
+    if (one != one_word_commands().end() && c.size() >= one->second.min_arguments)
     {
         return one->second.run(given);
     }
@@ -425,7 +427,7 @@
 {
     try
     {
-        return dispatch(read_options(argc, argv));
+        return run_command(read_options(argc, argv));
     }
     catch (const std::exception& failure)
     {
--- a/src/ctl/replay_command.cpp
+++ b/src/ctl/replay_command.cpp
@@ -16,7 +16,7 @@
 {
 using json = nlohmann::ordered_json;
 
-constexpr int exit_good = 0;
+constexpr int exit_success = 0;
 constexpr int exit_usage = 1;
 constexpr int exit_missed = 5;
 
@@ -52,16 +52,16 @@
 json transposed(const std::vector<json>& reports)
 {
     json rows = json::array();
-    for (const auto& [figure, value] : reports.front().items())
+    for (const auto& [metric, value] : reports.front().items())
     {
-        if (figure == "policy")
+        if (metric == "policy")
         {
             continue;
         }
-        json row{{"figure", figure}};
+        json row{{"figure", metric}};
         for (const json& report : reports)
         {
-            row[report.at("policy").get<std::string>()] = report.value(figure, json());
+            row[report.at("policy").get<std::string>()] = report.value(metric, json());
         }
         rows.push_back(std::move(row));
     }
@@ -69,15 +69,15 @@
 }
 } // namespace
 
-int run_replay(const std::vector<std::string>& words, bool as_table)
+int run_replay(const std::vector<std::string>& arguments, bool as_table)
 {
-    auto recorded = load_trace(words.front());
+    auto recorded = load_trace(arguments.front());
     if (!ok(recorded))
     {
         std::cerr << "Error " << error_of(recorded).number() << ": " << error_of(recorded).detail << '\n';
         return exit_usage;
     }
-    std::vector<std::string> policies(words.begin() + 1, words.end());
+    std::vector<std::string> policies(arguments.begin() + 1, arguments.end());
     if (policies.empty())
     {
         policies = {"walkthread"};
@@ -103,7 +103,7 @@
     {
         std::cerr << "Missed: " << sentence << '\n';
     }
-    return missed.empty() ? exit_good : exit_missed;
+    return missed.empty() ? exit_success : exit_missed;
 }
 
 } // namespace walkthread::ctl
--- a/src/ctl/replay_command.hpp
+++ b/src/ctl/replay_command.hpp
@@ -13,6 +13,6 @@
 /// @param as_table whether to print a table instead of JSON
 /// @return the exit code: 0, 1 for an unknown policy or an invalid trace, 5 if an outcome that the trace
 /// expects was missed
-int run_replay(const std::vector<std::string>& words, bool as_table);
+int run_replay(const std::vector<std::string>& arguments, bool as_table);
 
 } // namespace walkthread::ctl
--- a/src/ctl/story_command.cpp
+++ b/src/ctl/story_command.cpp
@@ -13,9 +13,9 @@
 
 namespace
 {
-constexpr int exit_good = 0;
+constexpr int exit_success = 0;
 constexpr int exit_usage = 1;
-constexpr int exit_nothing = 2;
+constexpr int exit_not_found = 2;
 
 void print_table(const submission_history& found)
 {
@@ -48,32 +48,32 @@
 }
 } // namespace
 
-int run_story(const std::vector<std::string>& words, bool as_table)
+int run_story(const std::vector<std::string>& arguments, bool as_table)
 {
-    if (words.size() < 2 || !parse_submission_id(words.front()))
+    if (arguments.size() < 2 || !parse_submission_id(arguments.front()))
     {
         std::cerr << "story takes a submission id (16 hexadecimal digits) and log files.\n";
         return exit_usage;
     }
     submission_history found;
-    for (std::size_t i = 1; i < words.size(); ++i)
+    for (std::size_t i = 1; i < arguments.size(); ++i)
     {
-        std::ifstream file(words[i]);
-        if (words[i] != "-" && !file)
+        std::ifstream file(arguments[i]);
+        if (arguments[i] != "-" && !file)
         {
-            std::cerr << words[i] << " cannot be read.\n";
+            std::cerr << arguments[i] << " cannot be read.\n";
             return exit_usage;
         }
-        read_log(words[i] == "-" ? std::cin : file, words.front(), found);
+        read_log(arguments[i] == "-" ? std::cin : file, arguments.front(), found);
     }
     analyze(found);
     if (found.lines.empty())
     {
-        std::cerr << "No log lines found for " << words.front() << ".\n";
-        return exit_nothing;
+        std::cerr << "No log lines found for " << arguments.front() << ".\n";
+        return exit_not_found;
     }
     as_table ? print_table(found) : print_json(found);
-    return exit_good;
+    return exit_success;
 }
 
 } // namespace walkthread::ctl
--- a/src/ctl/story_command.hpp
+++ b/src/ctl/story_command.hpp
@@ -13,6 +13,6 @@
 /// @param as_table whether to print text instead of JSON
 /// @return the exit code: 0, 1 for invalid arguments or an unreadable file, 2 if no line mentions the
 /// submission
-int run_story(const std::vector<std::string>& words, bool as_table);
+int run_story(const std::vector<std::string>& arguments, bool as_table);
 
 } // namespace walkthread::ctl
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -19,11 +19,11 @@
 
 using namespace walkthread;
 
-constexpr int exit_good = 0;
+constexpr int exit_success = 0;
 constexpr int exit_failed = 1;
 constexpr int exit_settings = 2;
 constexpr int exit_disk = 3;
-constexpr milliseconds signal_step{50};
+constexpr milliseconds signal_check_interval{50};
 
 volatile std::sig_atomic_t g_stop = 0;
 
@@ -50,7 +50,7 @@
     return {path.getValue(), check.getValue(), init.getValue()};
 }
 
-membership founders_of(const std::vector<node_id>& nodes)
+membership founding_membership(const std::vector<node_id>& nodes)
 {
     membership members;
     for (const node_id node : nodes)
@@ -60,7 +60,7 @@
     return members;
 }
 
-folder_identity fresh_identity(const settings& config, bool init_cell)
+folder_identity create_identity(const settings& config, bool init_cell)
 {
     folder_identity identity;
     identity.node = config.node;
@@ -73,14 +73,14 @@
     identity.incarnation = incarnation_id{1};
     for (const group_id group : config.groups())
     {
-        identity.founding[group] = founders_of(config.replicas_of(group));
+        identity.founding[group] = founding_membership(config.replicas_of(group));
     }
     return identity;
 }
 
 result<std::unique_ptr<data_folder>, storage_error> open_folder(const settings& config, bool init_cell)
 {
-    auto folder = data_folder::open(config.data, fresh_identity(config, init_cell));
+    auto folder = data_folder::open(config.data, create_identity(config, init_cell));
     if (ok(folder) && init_cell && value_of(folder)->identity().incarnation != incarnation_id{1})
     {
         return storage_error{storage_code::already_formatted,
@@ -109,11 +109,11 @@
     }
     while (g_stop == 0 && !daemon.failed())
     {
-        std::this_thread::sleep_for(signal_step);
+        std::this_thread::sleep_for(signal_check_interval);
     }
     const bool failed = daemon.failed();
     daemon.stop();
-    return failed ? exit_disk : exit_good;
+    return failed ? exit_disk : exit_success;
 }
 
 } // namespace
@@ -135,7 +135,7 @@
         if (given.check)
         {
             std::cout << "The settings are valid.\n";
-            return exit_good;
+            return exit_success;
         }
         setup_logs(value_of(config).log_level, value_of(config).log_file);
         std::signal(SIGTERM, on_signal);
--- a/src/settings/reader.cpp
+++ b/src/settings/reader.cpp
@@ -13,7 +13,7 @@
 constexpr std::int64_t max_port = 65535;
 constexpr std::int64_t max_node = 65535;
 
-std::string printed(const toml::node& node)
+std::string to_text(const toml::node& node)
 {
     std::ostringstream out;
     node.visit(
@@ -67,12 +67,12 @@
 
 const toml::node* table_reader::find(const std::string& key)
 {
-    m_read.insert(key);
+    m_known_keys.insert(key);
     return m_table == nullptr ? nullptr : m_table->get(key);
 }
 
-std::int64_t table_reader::integer(const std::string& key, std::int64_t fallback, std::int64_t least,
-                                   std::int64_t most)
+std::int64_t table_reader::integer(const std::string& key, std::int64_t fallback, std::int64_t min_value,
+                                   std::int64_t max_value)
 {
     const toml::node* node = find(key);
     if (node == nullptr)
@@ -80,26 +80,28 @@
         return fallback;
     }
     const auto value = node->value_exact<std::int64_t>();
-    if (!value || *value < least || *value > most)
+    if (!value || *value < min_value || *value > max_value)
     {
-        fail(key, printed(*node),
-             "a whole number from " + std::to_string(least) + " to " + std::to_string(most));
+        fail(key, to_text(*node),
+             "a whole number from " + std::to_string(min_value) + " to " + std::to_string(max_value));
         return fallback;
     }
     return *value;
 }
 
-std::int64_t table_reader::required_integer(const std::string& key, std::int64_t least, std::int64_t most)
+std::int64_t table_reader::required_integer(const std::string& key, std::int64_t min_value,
+                                            std::int64_t max_value)
 {
     if (find(key) == nullptr)
     {
-        fail(key, "", "a whole number from " + std::to_string(least) + " to " + std::to_string(most));
-        return least;
+        fail(key, "",
+             "a whole number from " + std::to_string(min_value) + " to " + std::to_string(max_value));
+        return min_value;
     }
-    return integer(key, least, least, most);
+    return integer(key, min_value, min_value, max_value);
 }
 
-double table_reader::number(const std::string& key, double fallback, double least, double most)
+double table_reader::number(const std::string& key, double fallback, double min_value, double max_value)
 {
     const toml::node* node = find(key);
     if (node == nullptr)
@@ -107,9 +109,10 @@
         return fallback;
     }
     const auto value = node->value<double>();
-    if (!value || *value < least || *value > most)
+    if (!value || *value < min_value || *value > max_value)
     {
-        fail(key, printed(*node), "a number from " + std::to_string(least) + " to " + std::to_string(most));
+        fail(key, to_text(*node),
+             "a number from " + std::to_string(min_value) + " to " + std::to_string(max_value));
         return fallback;
     }
     return *value;
@@ -125,7 +128,7 @@
     const auto value = node->value_exact<std::string>();
     if (!value)
     {
-        fail(key, printed(*node), "a string");
+        fail(key, to_text(*node), "a string");
         return fallback;
     }
     return *value;
@@ -151,15 +154,15 @@
     const auto value = node->value_exact<bool>();
     if (!value)
     {
-        fail(key, printed(*node), "true or false");
+        fail(key, to_text(*node), "true or false");
     }
     return value.value_or(fallback);
 }
 
-milliseconds table_reader::span(const std::string& key, milliseconds fallback, milliseconds least,
-                                milliseconds most)
+milliseconds table_reader::duration_in_ms(const std::string& key, milliseconds fallback,
+                                          milliseconds min_value, milliseconds max_value)
 {
-    return milliseconds(integer(key, fallback.count(), least.count(), most.count()));
+    return milliseconds(integer(key, fallback.count(), min_value.count(), max_value.count()));
 }
 
 socket_address table_reader::address(const std::string& key, bool required)
@@ -177,7 +180,7 @@
     socket_address out;
     if (!parse_address(text(key, ""), out))
     {
-        fail(key, printed(*node), allowed);
+        fail(key, to_text(*node), allowed);
         return {};
     }
     return out;
@@ -200,7 +203,7 @@
     const toml::node* node = find(key);
     if (node == nullptr || node->as_array() == nullptr)
     {
-        fail(key, node == nullptr ? "" : printed(*node), "a list of node numbers");
+        fail(key, node == nullptr ? "" : to_text(*node), "a list of node numbers");
         return out;
     }
     for (const toml::node& item : *node->as_array())
@@ -208,7 +211,7 @@
         const auto value = item.value_exact<std::int64_t>();
         if (!value || *value < 1 || *value > max_node)
         {
-            fail(key, printed(item), "node numbers from 1 to 65535");
+            fail(key, to_text(item), "node numbers from 1 to 65535");
             continue;
         }
         out.emplace_back(static_cast<std::uint16_t>(*value));
@@ -216,7 +219,8 @@
     return out;
 }
 
-std::vector<std::string> table_reader::words(const std::string& key, const std::set<std::string>& allowed)
+std::vector<std::string> table_reader::string_choices(const std::string& key,
+                                                      const std::set<std::string>& allowed)
 {
     std::string list;
     for (const std::string& word : allowed)
@@ -227,7 +231,7 @@
     const toml::node* node = find(key);
     if (node == nullptr || node->as_array() == nullptr)
     {
-        fail(key, node == nullptr ? "" : printed(*node), "a list of " + list);
+        fail(key, node == nullptr ? "" : to_text(*node), "a list of " + list);
         return out;
     }
     for (const toml::node& item : *node->as_array())
@@ -235,7 +239,7 @@
         const auto value = item.value_exact<std::string>();
         if (!value || !allowed.contains(*value))
         {
-            fail(key, printed(item), list);
+            fail(key, to_text(item), list);
             continue;
         }
         out.push_back(*value);
@@ -248,7 +252,7 @@
     const toml::node* node = find(key);
     if (node != nullptr && node->as_table() == nullptr)
     {
-        fail(key, printed(*node), "a table");
+        fail(key, to_text(*node), "a table");
         return nullptr;
     }
     return node == nullptr ? nullptr : node->as_table();
@@ -261,7 +265,7 @@
     const toml::array* list = node == nullptr ? nullptr : node->as_array();
     if (node != nullptr && list == nullptr)
     {
-        fail(key, printed(*node), "a list of tables");
+        fail(key, to_text(*node), "a list of tables");
     }
     if (list == nullptr)
     {
@@ -271,7 +275,7 @@
     {
         if (item.as_table() == nullptr)
         {
-            fail(key, printed(item), "a list of tables");
+            fail(key, to_text(item), "a list of tables");
             continue;
         }
         out.push_back(item.as_table());
@@ -279,7 +283,7 @@
     return out;
 }
 
-void table_reader::finish()
+void table_reader::report_unknown_keys()
 {
     if (m_table == nullptr)
     {
@@ -287,7 +291,7 @@
     }
     for (const auto& [key, node] : *m_table)
     {
-        if (!m_read.contains(std::string(key.str())))
+        if (!m_known_keys.contains(std::string(key.str())))
         {
             fail(std::string(key.str()), "unknown", "the keys in docs/OPERATIONS.md");
         }
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -21,7 +21,7 @@
     out.node = node_id{static_cast<std::uint16_t>(node.required_integer("id", 1, max_node))};
     out.hall = node.required_text("hall");
     out.data = node.text("data", "");
-    for (const std::string& role : node.words("roles", {"control", "gateway"}))
+    for (const std::string& role : node.string_choices("roles", {"control", "gateway"}))
     {
         out.control |= role == "control";
         out.gateway |= role == "gateway";
@@ -30,7 +30,7 @@
     {
         node.fail("data", "", "a folder; a control node needs one");
     }
-    node.finish();
+    node.report_unknown_keys();
 }
 
 void read_listen(table_reader& root, settings& out, errors& found)
@@ -38,7 +38,7 @@
     table_reader listen(root.child("listen"), "listen", found);
     out.operators = listen.address("operators", true);
     out.workers = listen.address("workers", false);
-    listen.finish();
+    listen.report_unknown_keys();
 }
 
 void read_cell(table_reader& root, settings& out, errors& found)
@@ -49,7 +49,7 @@
     out.worker_token = cell.hash("worker_token_sha256");
     out.root_replicas = cell.nodes("root_replicas");
     out.platform = cell.address("platform", false);
-    cell.finish();
+    cell.report_unknown_keys();
 }
 
 void read_peers(table_reader& root, settings& out, errors& found)
@@ -62,7 +62,7 @@
         item.address = peer.address("address", true);
         item.control = peer.flag("control", false);
         item.hall = peer.text("hall", "");
-        peer.finish();
+        peer.report_unknown_keys();
         if (out.find_peer(item.node) != nullptr)
         {
             peer.fail("id", std::to_string(item.node.value()) + " twice", "each node once");
@@ -80,7 +80,7 @@
         item.id = hall_id{static_cast<std::uint16_t>(out.halls.size() + 1)};
         item.name = hall.required_text("name");
         item.replicas = hall.nodes("replicas");
-        hall.finish();
+        hall.report_unknown_keys();
         out.halls.push_back(std::move(item));
     }
 }
@@ -103,7 +103,7 @@
         item.max_requests = organisation.integer("max_requests", item.max_requests, 1, most_requests);
         item.requests_per_second =
             organisation.integer("requests_per_second", item.requests_per_second, 1, most_requests);
-        organisation.finish();
+        organisation.report_unknown_keys();
         out.organisations.push_back(std::move(item));
     }
 }
@@ -113,20 +113,21 @@
     table_reader timing(root.child("timing"), "timing", found);
     timing_settings& t = out.timing;
     const milliseconds hour{3'600'000};
-    t.heartbeat = timing.span("heartbeat_ms", t.heartbeat, milliseconds(10), milliseconds(5000));
-    t.election = timing.span("election_ms", t.election, milliseconds(50), milliseconds(60'000));
-    t.worker_lease = timing.span("worker_lease_ms", t.worker_lease, milliseconds(500), hour);
-    t.worker_poll = timing.span("worker_poll_ms", t.worker_poll, milliseconds(50), hour);
-    t.feed = timing.span("feed_ms", t.feed, milliseconds(20), milliseconds(10'000));
-    t.config_staleness = timing.span("config_staleness_ms", t.config_staleness, milliseconds(200), hour);
+    t.heartbeat = timing.duration_in_ms("heartbeat_ms", t.heartbeat, milliseconds(10), milliseconds(5000));
+    t.election = timing.duration_in_ms("election_ms", t.election, milliseconds(50), milliseconds(60'000));
+    t.worker_lease = timing.duration_in_ms("worker_lease_ms", t.worker_lease, milliseconds(500), hour);
+    t.worker_poll = timing.duration_in_ms("worker_poll_ms", t.worker_poll, milliseconds(50), hour);
+    t.feed = timing.duration_in_ms("feed_ms", t.feed, milliseconds(20), milliseconds(10'000));
+    t.config_staleness =
+        timing.duration_in_ms("config_staleness_ms", t.config_staleness, milliseconds(200), hour);
     t.endpoint_staleness =
-        timing.span("endpoint_staleness_ms", t.endpoint_staleness, milliseconds(200), hour);
-    t.service_drain = timing.span("service_drain_ms", t.service_drain, milliseconds(0), hour);
-    t.balancer = timing.span("balancer_ms", t.balancer, milliseconds(0), hour);
-    t.request = timing.span("request_ms", t.request, milliseconds(50), hour);
+        timing.duration_in_ms("endpoint_staleness_ms", t.endpoint_staleness, milliseconds(200), hour);
+    t.service_drain = timing.duration_in_ms("service_drain_ms", t.service_drain, milliseconds(0), hour);
+    t.balancer = timing.duration_in_ms("balancer_ms", t.balancer, milliseconds(0), hour);
+    t.request = timing.duration_in_ms("request_ms", t.request, milliseconds(50), hour);
     t.key_window =
         seconds(timing.integer("key_window_s", t.key_window.count(), 1, std::int64_t{7} * 24 * 3600));
-    t.tick = timing.span("tick_ms", t.tick, milliseconds(1), milliseconds(1000));
+    t.tick = timing.duration_in_ms("tick_ms", t.tick, milliseconds(1), milliseconds(1000));
     if (t.election < 3 * t.heartbeat)
     {
         timing.fail("election_ms", std::to_string(t.election.count()), "at least three times heartbeat_ms");
@@ -141,7 +142,7 @@
         timing.fail("feed_ms", std::to_string(t.feed.count()),
                     "at most half of config_staleness_ms and of endpoint_staleness_ms");
     }
-    timing.finish();
+    timing.report_unknown_keys();
 }
 
 void read_limits(table_reader& root, settings& out, errors& found)
@@ -153,10 +154,10 @@
     l.http_queue = limits.integer("http_queue", l.http_queue, 1, 65536);
     l.worker_connections = limits.integer("worker_connections", l.worker_connections, 1, 64);
     l.timeline_events = limits.integer("timeline_events", l.timeline_events, 100, 1'000'000);
-    limits.finish();
+    limits.report_unknown_keys();
 }
 
-void read_rest(table_reader& root, settings& out, errors& found)
+void read_tls_and_log(table_reader& root, settings& out, errors& found)
 {
     table_reader tls(root.child("tls"), "tls", found);
     out.tls_certificate = tls.text("certificate", "");
@@ -165,7 +166,7 @@
     {
         tls.fail("key", "only one of the two", "certificate and key together");
     }
-    tls.finish();
+    tls.report_unknown_keys();
     table_reader log(root.child("log"), "log", found);
     out.log_level = log.text("level", out.log_level);
     const std::vector<std::string> levels{"trace", "debug", "info", "warn", "error"};
@@ -174,7 +175,7 @@
         log.fail("level", out.log_level, "trace, debug, info, warn or error");
     }
     out.log_file = log.text("file", "");
-    log.finish();
+    log.report_unknown_keys();
 }
 
 void check_replicas(const settings& s, const std::string& key, const std::vector<node_id>& nodes,
@@ -195,7 +196,7 @@
     }
 }
 
-void check_whole(const settings& s, errors& found)
+void check_consistency(const settings& s, errors& found)
 {
     if (s.find_peer(s.node) == nullptr)
     {
@@ -286,8 +287,8 @@
         read_organisations(root, out, found);
         read_timing(root, out, found);
         read_limits(root, out, found);
-        read_rest(root, out, found);
-        root.finish();
+        read_tls_and_log(root, out, found);
+        root.report_unknown_keys();
     }
     catch (const toml::parse_error& failure)
     {
@@ -295,7 +296,7 @@
         where << failure.description() << " at " << failure.source().begin;
         return errors{{settings_code::malformed, where.str()}};
     }
-    check_whole(out, found);
+    check_consistency(out, found);
     if (!found.empty())
     {
         return found;
--- a/tests/src/unit-decoding.cpp
+++ b/tests/src/unit-decoding.cpp
@@ -26,11 +26,11 @@
 const json good_submission = json::parse(R"({"spec":"text","steps":[{"count":4,"cpu":500,"mem-mb":256,
     "estimate-ms":900,"affinity":"r1-3"},{"count":20,"cpu":2000,"mem-mb":1024,"after-rev":[0],"gang":true}],
     "max-runs":2,"first-run-ms":5,"interval-ms":7})");
-const json good_catalogue = json::parse(R"({"version":7,"routes":[{"name":"r","host":"h.example",
+const json good_configuration = json::parse(R"({"version":7,"routes":[{"name":"r","host":"h.example",
     "path-prefix":"/p/","kind":"non_idempotent","timeout-ms":3000,"target-latency-ms":1000,"priority":1,
     "service":"pool","max-attempts":2,"stretch":2.2,"advice":{"decision-ms":410.0,"each-ms":5.8,"validity-ms":1500}}],
     "services":[{"name":"pool","rejects-overload":false,"spare":false}],"limits":{"max-body-bytes":262144}})");
-const json good_look =
+const json good_poll_answer =
     json::parse(R"({"clock-ms":482113,"born":1790095670000,"running":[["5c0e7a21d94b36f8.0.1.17",2,"00",41]],
     "finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""]]})");
 const json good_advice = json::parse(R"({"good":[["i-1","t1"],["i-2","t2"]]})");
@@ -58,7 +58,7 @@
 }
 
 // Replaces or removes one random value of a document.
-void change_somewhere(json& at, std::mt19937_64& random)
+void mutate_value(json& at, std::mt19937_64& random)
 {
     if (at.is_structured() && !at.empty() && random() % 4 != 0)
     {
@@ -69,7 +69,7 @@
             at.erase(child);
             return;
         }
-        change_somewhere(*child, random);
+        mutate_value(*child, random);
         return;
     }
     at = odd_value(random);
@@ -80,7 +80,7 @@
     json document = good;
     for (std::size_t i = random() % 3; i > 0; --i)
     {
-        change_somewhere(document, random);
+        mutate_value(document, random);
     }
     std::string text = document.dump();
     for (std::size_t i = random() % 3; i > 0 && !text.empty(); --i)
@@ -112,10 +112,10 @@
 {
     BOOST_TEST(ok(decode_report("i-1", good_report.dump())));
     BOOST_TEST(ok(decode_submission(good_submission.dump())));
-    BOOST_TEST(ok(decode_catalogue(good_catalogue.dump())));
-    BOOST_TEST(ok(decode_look(good_look.dump())));
+    BOOST_TEST(ok(decode_catalogue(good_configuration.dump())));
+    BOOST_TEST(ok(decode_look(good_poll_answer.dump())));
     BOOST_TEST(value_of(decode_report("i-1", good_report.dump())).facts.born.value() == 1790095670000);
-    BOOST_TEST(value_of(decode_look(good_look.dump())).born.value() == 1790095670000);
+    BOOST_TEST(value_of(decode_look(good_poll_answer.dump())).born.value() == 1790095670000);
     BOOST_TEST(ok(decode_advice(good_advice.dump())));
     BOOST_TEST(ok(decode_wave(good_wave.dump())));
 }
@@ -135,7 +135,7 @@
                 ++read;
                 check_report(value_of(report));
             }
-            const auto look = decode_look(mutate(good_look, random));
+            const auto look = decode_look(mutate(good_poll_answer, random));
             for (const listed_end& end : ok(look) ? value_of(look).ended : std::vector<listed_end>{})
             {
                 BOOST_REQUIRE_LE(static_cast<int>(end.how), static_cast<int>(run_end::lonely));
@@ -145,11 +145,11 @@
             {
                 static_cast<void>(find_fault(value_of(submission)));
             }
-            const auto held = decode_catalogue(mutate(good_catalogue, random));
-            if (ok(held))
+            const auto decoded_configuration = decode_catalogue(mutate(good_configuration, random));
+            if (ok(decoded_configuration))
             {
-                BOOST_REQUIRE_GT(value_of(held).version, 0U);
-                static_cast<void>(find_fault(value_of(held)));
+                BOOST_REQUIRE_GT(value_of(decoded_configuration).version, 0U);
+                static_cast<void>(find_fault(value_of(decoded_configuration)));
             }
             static_cast<void>(decode_advice(mutate(good_advice, random)));
             static_cast<void>(decode_wave(mutate(good_wave, random)));
@@ -183,7 +183,7 @@
          {json("1790095670000"), json(1.5), json(-1), json(UINT64_MAX), json(1e300), json(nullptr)})
     {
         BOOST_TEST(refused("born", odd));
-        json look = good_look;
+        json look = good_poll_answer;
         look["born"] = odd;
         BOOST_TEST(!ok(decode_look(look.dump())));
     }
@@ -215,13 +215,13 @@
     const auto read = decode_catalogue(with_organisation(
         R"("api-keys":["k1","k2"],"priority":1,"weight":55,"max-count":{"cpu":4425,"mem-mb":159,"gpu":2})"));
     BOOST_TEST_REQUIRE(read.index() == 0);
-    const catalogue& held = std::get<0>(read);
-    BOOST_TEST(held.guarded);
-    BOOST_TEST_REQUIRE(held.organisations.size() == 1);
-    const organisation_spec& hens = held.organisations.front();
-    BOOST_TEST(hens.keys.size() == 2);
-    BOOST_TEST(hens.weight == 55);
-    BOOST_TEST((hens.limit == resources{4425, 159, 2, 0}));
+    const catalogue& decoded_configuration = std::get<0>(read);
+    BOOST_TEST(decoded_configuration.guarded);
+    BOOST_TEST_REQUIRE(decoded_configuration.organisations.size() == 1);
+    const organisation_spec& organisation = decoded_configuration.organisations.front();
+    BOOST_TEST(organisation.keys.size() == 2);
+    BOOST_TEST(organisation.weight == 55);
+    BOOST_TEST((organisation.limit == resources{4425, 159, 2, 0}));
 }
 
 BOOST_AUTO_TEST_CASE(a_configuration_that_names_no_organisations_is_not_guarded)
