--- a/include/walkthread/fabric/core_node.hpp
+++ b/include/walkthread/fabric/core_node.hpp
@@ -37,7 +37,7 @@
     milliseconds leader_heard{400};   ///< a replica with leader contact within this time has current worker
                                       ///< descriptions: above three heartbeats, below an election and a lease
     milliseconds asker_known{5000}; ///< processes that queried within this time are notified of a new leader
-    newcomer_settings join_rules{};
+    join_settings join_rules{};
     dispatch_settings dispatch{};
 };
 
@@ -83,12 +83,12 @@
     void review_members(monotonic_time now);
     void promote_standby(monotonic_time now);
     void forget_silent_newcomer(monotonic_time now);
-    [[nodiscard]] newcomer_hooks make_newcomer_hooks() const;
+    [[nodiscard]] join_hooks make_newcomer_hooks() const;
     void tell_leadership(monotonic_time now);
     [[nodiscard]] replica_id silent_voter(monotonic_time now) const;
     [[nodiscard]] leader_note present_leader(monotonic_time now) const;
     [[nodiscard]] bool leads(monotonic_time now) const;
-    [[nodiscard]] std::size_t wanted_voters() const
+    [[nodiscard]] std::size_t target_voters() const
     {
         return 2 * m_settings.losses_borne + 1;
     }
--- a/include/walkthread/node/core.hpp
+++ b/include/walkthread/node/core.hpp
@@ -56,7 +56,7 @@
     process_core& operator=(const process_core&) = delete;
 
     /// @brief Adds a group of which this process is a replica. Only before `start`.
-    replicated_group& add_group(group_id id, state_hooks hooks, group_duties callbacks);
+    replicated_group& add_group(group_id id, state_machine_hooks hooks, group_duties callbacks);
     /// @brief Adds a function that is called every tick. Only before `start`.
     void add_ticker(std::function<void(monotonic_time, wall_ms)> ticker);
     /// @brief Starts the network and the core thread. @return whether the peer address could be bound
--- a/include/walkthread/policy/scheduler.hpp
+++ b/include/walkthread/policy/scheduler.hpp
@@ -56,7 +56,7 @@
 struct schedule
 {
     std::vector<placement> placements;
-    std::vector<stop_order> stops;
+    std::vector<stop_request> stops;
     [[nodiscard]] bool empty() const
     {
         return placements.empty() && stops.empty();
@@ -170,7 +170,7 @@
     // Preemption, in scheduler_preempt.cpp.
     struct victim_set
     {
-        std::vector<stop_order> orders;
+        std::vector<stop_request> orders;
         resources freed{};
         std::int64_t lost_work{}; ///< milliseconds times millicores
     };
--- a/include/walkthread/replication/messages.hpp
+++ b/include/walkthread/replication/messages.hpp
@@ -69,14 +69,14 @@
 };
 
 /// @brief Tells the target of a leadership transfer to start an election at once (TimeoutNow in Raft).
-struct election_order
+struct timeout_now_request
 {
     term_id term{};
     MSGPACK_DEFINE(term)
 };
 
-using replica_message =
-    std::variant<vote_request, vote_reply, append_request, append_reply, snapshot_request, election_order>;
+using replica_message = std::variant<vote_request, vote_reply, append_request, append_reply, snapshot_request,
+                                     timeout_now_request>;
 
 /// @brief A message with its group, sender and recipient.
 /// @since 0.1
--- a/include/walkthread/replication/newcomers.hpp
+++ b/include/walkthread/replication/newcomers.hpp
@@ -18,9 +18,9 @@
 {
 
 /// @brief Limits for join requests and for learners.
-struct newcomer_settings
+struct join_settings
 {
-    std::size_t wanted_voters = 3; ///< with fewer voters, a joining replica is promoted once caught up
+    std::size_t target_voters = 3; ///< with fewer voters, a joining replica is promoted once caught up
     duration live_window = milliseconds(400); ///< a member with a reply within this time is live; four
                                               ///< heartbeats
     duration learner_timeout = seconds(10);   ///< a learner without replies for this long is removed; above
@@ -29,7 +29,7 @@
 };
 
 /// @brief Queries about replicas that the membership does not answer.
-struct newcomer_hooks
+struct join_hooks
 {
     /// Whether two replicas run on the same host.
     std::function<bool(const replica_id&, const replica_id&)> same_host;
@@ -38,7 +38,7 @@
 };
 
 /// @brief The action for a join request; none if no field is set.
-struct newcomer_decision
+struct join_decision
 {
     std::optional<learner> add;
     std::optional<replica_id> remove;       ///< an earlier learner of the same host, whose disk is lost
@@ -46,14 +46,14 @@
 };
 
 /// @brief Decides on a join request. Complexity: linear in the members.
-[[nodiscard]] newcomer_decision judge_newcomer(const membership& members, const replica_id& requester,
-                                               const newcomer_settings& settings, const newcomer_hooks& hooks,
-                                               monotonic_time now);
+[[nodiscard]] join_decision decide_join(const membership& members, const replica_id& requester,
+                                        const join_settings& settings, const join_hooks& hooks,
+                                        monotonic_time now);
 
 /// @brief A learner that has sent no reply for longer than the learner timeout and is to be removed; no value
 /// if there is none. The removed replica may request to join again.
-[[nodiscard]] std::optional<replica_id> find_forgotten(const membership& members,
-                                                       const newcomer_settings& settings,
-                                                       const newcomer_hooks& hooks, monotonic_time now);
+[[nodiscard]] std::optional<replica_id> find_expired_learner(const membership& members,
+                                                             const join_settings& settings,
+                                                             const join_hooks& hooks, monotonic_time now);
 
 } // namespace walkthread
--- a/include/walkthread/replication/replica.hpp
+++ b/include/walkthread/replication/replica.hpp
@@ -49,18 +49,18 @@
 /// @since 0.1
 struct replica_settings
 {
-    duration heartbeat = milliseconds(150);         ///< interval from leader to follower
-    duration election_timeout = milliseconds(1000); ///< shortest time without leader contact before an
-                                                    ///< election; also the initial lease duration
-    duration election_most = milliseconds(1000);    ///< upper bound when a quorum replies slowly
-    duration election_step = milliseconds(30); ///< delay between the campaigns of two replicas: one round of
-                                               ///< vote requests and replies inside a region
-    duration vote_patience = milliseconds(1000); ///< election timeout after a vote; covers two fsyncs on a
-                                                 ///< disk that is 30 times slower than usual
+    duration heartbeat = milliseconds(150);             ///< interval from leader to follower
+    duration election_timeout = milliseconds(1000);     ///< shortest time without leader contact before an
+                                                        ///< election; also the initial lease duration
+    duration max_election_timeout = milliseconds(1000); ///< upper bound when a quorum replies slowly
+    duration election_stagger = milliseconds(30); ///< delay between the campaigns of two replicas: one round
+                                                  ///< of vote requests and replies inside a region
+    duration vote_timeout = milliseconds(1000); ///< election timeout after a vote; covers two fsyncs on a
+                                                ///< disk that is 30 times slower than usual
     double clock_drift = 0.05;              ///< largest relative difference between the rates of two clocks
     std::size_t append_bytes = 256U << 10U; ///< approximate size limit of an append_request
     std::size_t max_uncommitted = 100'000;  ///< limit on entries that wait for a quorum
-    std::uint64_t snapshot_every = 4096;    ///< applied entries between snapshots
+    std::uint64_t snapshot_interval = 4096; ///< applied entries between snapshots
     std::uint64_t keep_entries = 1024;      ///< entries kept in memory before a snapshot for slow followers
 };
 
@@ -123,12 +123,12 @@
     /// @return success, or replication_code::not_leader, change_pending, unknown_member
     [[nodiscard]] result<done, replication_error> remove_member(const replica_id& member, monotonic_time now);
     /// @brief Transfers leadership to the most up-to-date other voter, if this replica leads.
-    void hand_over(monotonic_time now);
+    void transfer_leadership(monotonic_time now);
     /// @brief Sets whether this replica refrains from campaigning, because its process is shutting down or
     /// its disk rejects writes. It still votes.
-    void decline_leadership(bool declined = true)
+    void set_leadership_declined(bool declined = true)
     {
-        m_declines = declined;
+        m_leadership_declined = declined;
     }
 
     /// @brief Returns the pending work. The owner makes it durable, sends, applies, then calls `synced`.
@@ -143,7 +143,7 @@
     /// @return the snapshot to store
     [[nodiscard]] snapshot compact(log_index index, std::string data);
     /// @brief Whether enough entries have been applied since the last snapshot to take another one.
-    [[nodiscard]] bool wants_snapshot() const;
+    [[nodiscard]] bool snapshot_due() const;
 
     [[nodiscard]] replica_role role() const
     {
@@ -154,7 +154,7 @@
         return m_state.term;
     }
     /// @brief The state that must survive a restart.
-    [[nodiscard]] const hard_state& present_state() const
+    [[nodiscard]] const hard_state& persistent_state() const
     {
         return m_state;
     }
@@ -223,15 +223,15 @@
     void handle(const replica_id& from, const append_request& m, monotonic_time now);
     void handle(const replica_id& from, const append_reply& m, monotonic_time now);
     void handle(const replica_id& from, const snapshot_request& m, monotonic_time now);
-    void handle(const replica_id& from, const election_order& m, monotonic_time now);
+    void handle(const replica_id& from, const timeout_now_request& m, monotonic_time now);
 
     void send(const replica_id& to, replica_message message);
     void become_follower(term_id term, replica_id leader, monotonic_time now);
-    void heed_leader(term_id term, const replica_id& leader, std::int64_t asked, monotonic_time now);
-    void adapt_promise(monotonic_time now);
+    void follow_leader(term_id term, const replica_id& leader, std::int64_t asked, monotonic_time now);
+    void extend_lease_duration(monotonic_time now);
     void start_election(bool pre, bool transfer, monotonic_time now);
     void become_leader(monotonic_time now);
-    void step_down_if_alone(monotonic_time now);
+    void step_down_without_quorum(monotonic_time now);
     void advance_members(monotonic_time now);
     void send_append(const replica_id& to, monotonic_time now);
     void send_heartbeat(const replica_id& to, progress& p, monotonic_time now);
@@ -246,11 +246,11 @@
     void set_election_timer(duration wait, monotonic_time now);
     [[nodiscard]] bool log_is_current(log_index last_index, term_id last_term) const;
     [[nodiscard]] bool has_live_leader(monotonic_time now) const;
-    [[nodiscard]] std::vector<monotonic_time> voters_contact(monotonic_time now) const;
-    [[nodiscard]] monotonic_time quorum_contact(monotonic_time now) const;
+    [[nodiscard]] std::vector<monotonic_time> voter_contact_times(monotonic_time now) const;
+    [[nodiscard]] monotonic_time quorum_contact_time(monotonic_time now) const;
     [[nodiscard]] monotonic_time lease_end(monotonic_time now) const;
-    [[nodiscard]] duration promise_asked_at(monotonic_time sent) const;
-    [[nodiscard]] std::size_t own_rank() const;
+    [[nodiscard]] duration requested_lease_at(monotonic_time sent) const;
+    [[nodiscard]] std::size_t election_rank() const;
     [[nodiscard]] log_index find_conflict_hint(log_index previous) const;
 
     group_id m_group;
@@ -276,21 +276,21 @@
     replica_id m_leader{};
     log_index m_term_start{};
     monotonic_time m_last_leader_contact{};
-    duration m_promise{}; ///< follower: lease granted to its leader from the last message on; leader:
-                          ///< lease that it requests
+    duration m_lease_duration{}; ///< follower: lease granted to its leader from the last message on; leader:
+                                 ///< lease that it requests
     /// A lease duration that this leader has requested since a point in time.
-    struct asked_promise
+    struct lease_request
     {
         monotonic_time since{};
         duration lease_duration{};
     };
-    std::vector<asked_promise> m_lease_requests; ///< of this term, oldest first; durations only increase, at
+    std::vector<lease_request> m_lease_requests; ///< of this term, oldest first; durations only increase, at
                                                  ///< most four entries
-    term_id m_promise_term{}; ///< follower: term of the leader that was granted the lease
+    term_id m_lease_term{};                      ///< follower: term of the leader that was granted the lease
     monotonic_time m_election_at{};
     monotonic_time m_leader_since{};
     bool m_transferring = false;
-    bool m_declines = false;
+    bool m_leadership_declined = false;
     monotonic_time m_transfer_started{};
     std::set<replica_id> m_votes;
     std::map<replica_id, progress> m_progress;
--- a/include/walkthread/replication/replicated_group.hpp
+++ b/include/walkthread/replication/replicated_group.hpp
@@ -25,7 +25,7 @@
 
 /// @brief Callbacks that connect a group to its state machine.
 /// @since 0.1
-struct state_hooks
+struct state_machine_hooks
 {
     /// Applies a command and returns the encoded result.
     std::function<std::string(wall_ms, const std::string&)> apply;
@@ -41,7 +41,7 @@
     /// @brief Receives the encoded result, or no value if the entry was not committed.
     using result_handler = std::function<void(std::optional<std::string>)>;
 
-    replicated_group(group_id id, replica core, state_hooks hooks);
+    replicated_group(group_id id, replica core, state_machine_hooks hooks);
 
     /// @brief Proposes a command; the handler is called when the entry is applied or discarded, or
     /// immediately if this replica is not the leader.
@@ -74,7 +74,7 @@
         return m_applied;
     }
     /// @brief The state of this group that a rewritten log file must contain.
-    [[nodiscard]] replica_start live_part() const;
+    [[nodiscard]] replica_start retained_state() const;
 
   private:
     struct pending_proposal
@@ -87,7 +87,7 @@
 
     group_id m_id;
     replica m_core;
-    state_hooks m_hooks;
+    state_machine_hooks m_hooks;
     log_index m_applied{};
     log_index m_stored_snapshot{};
     std::map<log_index, pending_proposal> m_pending_proposals;
--- a/include/walkthread/state/claims.hpp
+++ b/include/walkthread/state/claims.hpp
@@ -101,7 +101,7 @@
     };
     using claim_key = std::pair<organisation_id, std::string>;
 
-    void forget_older_than(wall_ms key_time);
+    void evict_older_than(wall_ms key_time);
 
     std::map<claim_key, record> m_claims;
     std::multimap<wall_ms, claim_key> m_by_time;
--- a/include/walkthread/state/errors.hpp
+++ b/include/walkthread/state/errors.hpp
@@ -27,7 +27,7 @@
     outcome_unknown = 412,     ///< the request was sent but its outcome is unknown
     quota_exceeds_pool = 413,  ///< a quota exceeds the capacity of the pool
     bad_parameter = 414,       ///< a parameter is out of range
-    lease_not_over = 415,      ///< the worker still has a lease under another epoch, and tasks may run there
+    lease_active = 415,        ///< the worker still has a lease under another epoch, and tasks may run there
 };
 using state_error = layer_error<state_code>;
 
--- a/include/walkthread/state/estimate.hpp
+++ b/include/walkthread/state/estimate.hpp
@@ -20,7 +20,7 @@
 {
   public:
     /// @brief Number of mean deviations added to the mean ratio.
-    static constexpr double safety_margin = 2.0;
+    static constexpr double deviation_factor = 2.0;
     /// @brief Smallest weight of a new observation.
     static constexpr double learning_rate = 0.1;
 
--- a/include/walkthread/state/hall.hpp
+++ b/include/walkthread/state/hall.hpp
@@ -168,7 +168,7 @@
 };
 
 /// @brief Marks workers as lost whose lease has certainly expired.
-struct lose_workers
+struct mark_workers_lost
 {
     std::vector<worker_epoch> workers{};
     std::vector<run_id> unsent{}; ///< runs placed there whose start order was never sent: they never began
@@ -258,7 +258,7 @@
 };
 
 /// @brief A request to stop one run.
-struct stop_order
+struct stop_request
 {
     run_id run{};
     std::uint8_t reason{};
@@ -268,13 +268,13 @@
 /// @brief A batch of stop requests.
 struct stop_runs
 {
-    std::vector<stop_order> orders{};
+    std::vector<stop_request> orders{};
     MSGPACK_DEFINE(orders)
 };
 
-using hall_command =
-    std::variant<register_worker, lose_workers, drain_workers, probe_workers, admit_jobs, cancel_hall_jobs,
-                 forget_jobs, place_tasks, report_runs, stop_runs, claim_request, settle_claim>;
+using hall_command = std::variant<register_worker, mark_workers_lost, drain_workers, probe_workers,
+                                  admit_jobs, cancel_hall_jobs, forget_jobs, place_tasks, report_runs,
+                                  stop_runs, claim_request, settle_claim>;
 
 /// @brief Result of a hall command.
 /// @since 0.1
@@ -309,7 +309,7 @@
     /// @brief Distinct jobs that fail on a host without a success in between before it is quarantined.
     static constexpr std::size_t quarantine_after = 3;
     /// @brief Distinct hosts on which a job fails before it is held.
-    static constexpr std::size_t hold_after = 3;
+    static constexpr std::size_t hold_after_failed_hosts = 3;
     /// @brief Failures after which a job is held when there are too few hosts to reach that number.
     static constexpr std::uint32_t hold_after_failures = 12;
 
@@ -345,9 +345,9 @@
     /// @brief The learned run time estimate of a template. Complexity: logarithmic.
     [[nodiscard]] run_estimate estimate_of(template_id id) const;
     /// @brief The newest position of root's log that this hall has applied.
-    [[nodiscard]] log_index root_seen() const
+    [[nodiscard]] log_index applied_root_index() const
     {
-        return m_root_seen;
+        return m_applied_root_index;
     }
     [[nodiscard]] std::size_t claims() const
     {
@@ -365,7 +365,7 @@
 
   private:
     hall_result run(wall_ms at, const register_worker& command);
-    hall_result run(wall_ms at, const lose_workers& command);
+    hall_result run(wall_ms at, const mark_workers_lost& command);
     hall_result run(wall_ms at, const drain_workers& command);
     hall_result run(wall_ms at, const probe_workers& command);
     hall_result run(wall_ms at, const admit_jobs& command);
@@ -383,11 +383,11 @@
     void reserve(wall_ms at, const placement& p);
     void release(wall_ms at, hall_job& job, std::uint32_t index, task_phase next);
     void apply_report(wall_ms at, const run_report& report);
-    void end_well(wall_ms at, hall_job& job, std::uint32_t index);
+    void end_completed(wall_ms at, hall_job& job, std::uint32_t index);
     void end_stopped(wall_ms at, hall_job& job, std::uint32_t index, bool checkpointed);
     void end_failed(wall_ms at, hall_job& job, std::uint32_t index);
     void end_lost(wall_ms at, hall_job& job, std::uint32_t index, bool unsent);
-    void order_stop(wall_ms at, hall_job& job, std::uint32_t index, stop_reason reason);
+    void request_stop(wall_ms at, hall_job& job, std::uint32_t index, stop_reason reason);
     void stop_gang(wall_ms at, hall_job& job);
     void cancel(wall_ms at, hall_job& job, job_outcome outcome);
     void quarantine(wall_ms at, worker_record& worker);
@@ -403,13 +403,13 @@
     std::map<team_id, resources> m_team_used;
     std::map<template_id, run_estimate> m_estimates;
     resources m_capacity{};
-    log_index m_root_seen{};
+    log_index m_applied_root_index{};
     claim_table m_claims;
     hall_changes m_changes;
 
   public:
-    MSGPACK_DEFINE(m_hall, m_workers, m_jobs, m_used, m_team_used, m_estimates, m_capacity, m_root_seen,
-                   m_claims)
+    MSGPACK_DEFINE(m_hall, m_workers, m_jobs, m_used, m_team_used, m_estimates, m_capacity,
+                   m_applied_root_index, m_claims)
 };
 
 } // namespace walkthread
--- a/include/walkthread/state/root.hpp
+++ b/include/walkthread/state/root.hpp
@@ -192,10 +192,10 @@
     root_result run(wall_ms at, const finish_jobs& command);
 
     template <typename Command>
-    root_result run_once(wall_ms at, const Command& command);
-    void forget_old_requests(wall_ms at);
-    root_result start_job(wall_ms at, const name_key& key, configuration& config,
-                          const std::vector<hall_part>& parts);
+    root_result run_idempotent(wall_ms at, const Command& command);
+    void evict_old_requests(wall_ms at);
+    root_result create_job(wall_ms at, const name_key& key, configuration& config,
+                           const std::vector<hall_part>& parts);
     void cancel_all(const configuration& config);
     void end_job(job_id id);
 
--- a/include/walkthread/storage/data_folder.hpp
+++ b/include/walkthread/storage/data_folder.hpp
@@ -92,7 +92,7 @@
         return m_identity;
     }
     /// @brief The recovered state of a group; empty for a group without records.
-    [[nodiscard]] replica_start start_of(group_id group) const;
+    [[nodiscard]] replica_start recovered_state(group_id group) const;
 
     /// @brief Adds a replica's output to the batch. Nothing is durable before `sync`.
     void add(group_id group, const replica_output& output);
@@ -103,7 +103,7 @@
     /// @brief Stores a snapshot that the replica took of its own state.
     [[nodiscard]] result<done, storage_error> store_snapshot(group_id group, const snapshot& content);
     /// @brief Whether the log has grown enough to be rewritten.
-    [[nodiscard]] bool wants_rewrite() const
+    [[nodiscard]] bool rewrite_due() const
     {
         return m_log_bytes > m_rewrite_at;
     }
@@ -126,7 +126,7 @@
     data_folder(std::string path, folder_identity identity);
     result<done, storage_error> load();
     result<done, storage_error> load_file(std::uint64_t number, bool last);
-    void take_record(log_record record);
+    void apply_record(log_record record);
     result<done, storage_error> open_log(std::uint64_t number);
     result<done, storage_error> flush(std::string_view bytes);
 
--- a/src/fabric/core_members.cpp
+++ b/src/fabric/core_members.cpp
@@ -195,9 +195,9 @@
     }
 }
 
-newcomer_hooks core_node::make_newcomer_hooks() const
+join_hooks core_node::make_newcomer_hooks() const
 {
-    newcomer_hooks hooks;
+    join_hooks hooks;
     hooks.same_host = [](const replica_id& a, const replica_id& b)
     {
         return detail::ip_part(a) == detail::ip_part(b);
@@ -216,9 +216,9 @@
     {
         return;
     }
-    m_times.join_rules.wanted_voters = wanted_voters();
-    const newcomer_decision decided =
-        judge_newcomer(core.members(), request.self, m_times.join_rules, make_newcomer_hooks(), now);
+    m_times.join_rules.target_voters = target_voters();
+    const join_decision decided =
+        decide_join(core.members(), request.self, m_times.join_rules, make_newcomer_hooks(), now);
     const std::string address = peer_address_of(request.self, detail::port_of(m_settings.peer_address));
     if (decided.live_replica)
     {
@@ -249,7 +249,7 @@
 {
     replica& core = m_replica->group().core();
     const auto expired_learner =
-        find_forgotten(core.members(), m_times.join_rules, make_newcomer_hooks(), now);
+        find_expired_learner(core.members(), m_times.join_rules, make_newcomer_hooks(), now);
     if (expired_learner && ok(core.remove_member(*expired_learner, now)))
     {
         log_event("newcomer_forgotten", {},
--- a/src/fabric/core_node.cpp
+++ b/src/fabric/core_node.cpp
@@ -102,7 +102,7 @@
 
 void core_node::open_group(std::unique_ptr<data_folder> folder)
 {
-    state_hooks hooks;
+    state_machine_hooks hooks;
     hooks.apply = [this](wall_ms at, const std::string& bytes)
     {
         auto command = decode<workload_command>(bytes);
@@ -120,7 +120,7 @@
     {
         return m_state.load(bytes);
     };
-    replica_start start = folder->start_of(workload_group);
+    replica_start start = folder->recovered_state(workload_group);
     if (!start.base.data.empty())
     {
         m_state.load(start.base.data);
@@ -173,7 +173,7 @@
 
 bool core_node::enough_copies() const
 {
-    return m_replica->group().core().members().voters.size() >= wanted_voters();
+    return m_replica->group().core().members().voters.size() >= target_voters();
 }
 
 bool core_node::may_end() const
@@ -184,8 +184,8 @@
 void core_node::prepare_stop()
 {
     m_stopping = true;
-    m_replica->group().core().decline_leadership();
-    m_replica->group().core().hand_over(monotonic_now());
+    m_replica->group().core().set_leadership_declined();
+    m_replica->group().core().transfer_leadership(monotonic_now());
     m_replica->pump();
     end_leading("planned stop");
 }
@@ -277,13 +277,13 @@
     const bool leads_now = core.role() == replica_role::leader;
     log_event("disk_refuses", {},
               {{"error", error.number()}, {"detail", error.detail}, {"hands_over", leads_now}});
-    core.decline_leadership(true);
+    core.set_leadership_declined(true);
     boost::asio::post(m_loop,
                       [this, alive = m_alive]
                       {
                           if (*alive && m_disk_refuses)
                           {
-                              m_replica->group().core().hand_over(monotonic_now());
+                              m_replica->group().core().transfer_leadership(monotonic_now());
                               m_replica->pump();
                           }
                       });
@@ -293,7 +293,7 @@
 {
     m_disk_refuses = false;
     log_event("disk_accepts", {}, {});
-    m_replica->group().core().decline_leadership(m_stopping);
+    m_replica->group().core().set_leadership_declined(m_stopping);
 }
 
 dispatch_hooks core_node::make_hooks()
--- a/src/fabric/replica_host.cpp
+++ b/src/fabric/replica_host.cpp
@@ -243,10 +243,10 @@
                 handle_write_result(outcome);
             });
     }
-    else if (m_folder->wants_rewrite())
+    else if (m_folder->rewrite_due())
     {
         std::map<group_id, replica_start> live;
-        live[m_group->id()] = m_group->live_part();
+        live[m_group->id()] = m_group->retained_state();
         run_on_disk(
             [this, content = std::move(live)]
             {
--- a/src/node/core.cpp
+++ b/src/node/core.cpp
@@ -32,14 +32,14 @@
     stop();
 }
 
-replicated_group& process_core::add_group(group_id id, state_hooks hooks, group_duties callbacks)
+replicated_group& process_core::add_group(group_id id, state_machine_hooks hooks, group_duties callbacks)
 {
     replica_settings timing;
     timing.heartbeat = m_settings.timing.heartbeat;
     timing.election_timeout = m_settings.timing.election;
-    timing.election_most = m_settings.timing.election;
-    timing.vote_patience = m_settings.timing.election;
-    replica_start start = m_folder->start_of(id);
+    timing.max_election_timeout = m_settings.timing.election;
+    timing.vote_timeout = m_settings.timing.election;
+    replica_start start = m_folder->recovered_state(id);
     if (!start.base.data.empty() && !hooks.load(start.base.data))
     {
         fail({storage_code::damaged, "A stored snapshot could not be loaded."});
@@ -106,8 +106,8 @@
             {
                 for (auto& [id, owned] : m_groups)
                 {
-                    owned.group->core().decline_leadership();
-                    owned.group->core().hand_over(monotonic_now());
+                    owned.group->core().set_leadership_declined();
+                    owned.group->core().transfer_leadership(monotonic_now());
                 }
                 return leads_any();
             });
@@ -270,14 +270,14 @@
             fail(error_of(stored));
         }
     }
-    if (m_failed || m_folder == nullptr || !m_folder->wants_rewrite())
+    if (m_failed || m_folder == nullptr || !m_folder->rewrite_due())
     {
         return;
     }
     std::map<group_id, replica_start> live;
     for (auto& [id, owned] : m_groups)
     {
-        live[id] = owned.group->live_part();
+        live[id] = owned.group->retained_state();
     }
     const auto rewritten = m_folder->rewrite(live);
     if (!ok(rewritten))
--- a/src/node/hall_events.cpp
+++ b/src/node/hall_events.cpp
@@ -53,7 +53,7 @@
     {
         note_reports(at, *reports);
     }
-    else if (const auto* lost = std::get_if<lose_workers>(&command))
+    else if (const auto* lost = std::get_if<mark_workers_lost>(&command))
     {
         for (const worker_epoch& lost_worker : lost->workers)
         {
@@ -84,7 +84,7 @@
     }
     else if (const auto* stopped = std::get_if<stop_runs>(&command))
     {
-        for (const stop_order& order : stopped->orders)
+        for (const stop_request& order : stopped->orders)
         {
             const auto job = m_state.jobs().find(order.run.task.job);
             if (job != m_state.jobs().end())
--- a/src/node/hall_root.cpp
+++ b/src/node/hall_root.cpp
@@ -18,7 +18,7 @@
 
 void hall_service::reconcile_with_root()
 {
-    const bool stale = m_root.applied() < m_state.root_seen();
+    const bool stale = m_root.applied() < m_state.applied_root_index();
     if (!m_leader_state->root_changed || m_leader_state->reconcile_in_flight || stale)
     {
         return;
--- a/src/node/hall_service.cpp
+++ b/src/node/hall_service.cpp
@@ -34,7 +34,7 @@
 
 void hall_service::attach()
 {
-    state_hooks hooks;
+    state_machine_hooks hooks;
     hooks.apply = [this](wall_ms at, const std::string& command)
     {
         return apply(at, command);
@@ -230,7 +230,7 @@
 
 void hall_service::expire_leases(monotonic_time now)
 {
-    lose_workers lost;
+    mark_workers_lost lost;
     for (const worker_id id : m_leader_state->leases.expire(now))
     {
         const auto found = m_state.workers().find(id);
--- a/src/node/root_service.cpp
+++ b/src/node/root_service.cpp
@@ -33,7 +33,7 @@
     const std::vector<node_id>& replicas = m_core.config().root_replicas;
     if (std::find(replicas.begin(), replicas.end(), m_core.config().node) != replicas.end())
     {
-        state_hooks hooks;
+        state_machine_hooks hooks;
         hooks.apply = [this](wall_ms at, const std::string& command)
         {
             return apply(at, command);
--- a/src/policy/scheduler_preempt.cpp
+++ b/src/policy/scheduler_preempt.cpp
@@ -88,7 +88,7 @@
         }
         any = true;
         taken.insert(best_slot);
-        for (const stop_order& order : best->orders)
+        for (const stop_request& order : best->orders)
         {
             const hall_job& loser = p.state.jobs().at(order.run.task.job);
             p.stopped[loser.spec.organisation] += loser.spec.values.size;
@@ -135,7 +135,7 @@
         victims.freed += loser.spec.values.size;
         victims.lost_work += work;
         const auto reason = static_cast<std::uint8_t>(stop_reason::preempted);
-        victims.orders.push_back(stop_order{run_id{id, task.run}, reason});
+        victims.orders.push_back(stop_request{run_id{id, task.run}, reason});
     }
     const bool enough = !victims.orders.empty() && fits(need, host.free + victims.freed);
     return enough ? std::optional(std::move(victims)) : std::nullopt;
--- a/src/replay/replay.cpp
+++ b/src/replay/replay.cpp
@@ -179,7 +179,7 @@
         if (s.what == simulation_event::kind::lost)
         {
             count_lost_work(s.from.worker, s.at);
-            apply(s.at, lose_workers{{s.from}});
+            apply(s.at, mark_workers_lost{{s.from}});
             return;
         }
         if (s.what == simulation_event::kind::probe)
@@ -301,7 +301,7 @@
             return;
         }
         apply(now, stop_runs{made.stops});
-        for (const stop_order& order : made.stops)
+        for (const stop_request& order : made.stops)
         {
             const task_record& task = m_state.jobs().at(order.run.task.job).tasks[order.run.task.index];
             stop_if_ordered(order.run.task, m_state.workers().at(task.worker), now);
--- a/src/replication/newcomers.cpp
+++ b/src/replication/newcomers.cpp
@@ -5,7 +5,7 @@
 
 namespace
 {
-bool is_live(const replica_id& member, const newcomer_settings& settings, const newcomer_hooks& hooks,
+bool is_live(const replica_id& member, const join_settings& settings, const join_hooks& hooks,
              monotonic_time now)
 {
     const auto heard = hooks.last_heard(member);
@@ -13,18 +13,17 @@
 }
 } // namespace
 
-newcomer_decision judge_newcomer(const membership& members, const replica_id& requester,
-                                 const newcomer_settings& settings, const newcomer_hooks& hooks,
-                                 monotonic_time now)
+join_decision decide_join(const membership& members, const replica_id& requester,
+                          const join_settings& settings, const join_hooks& hooks, monotonic_time now)
 {
-    newcomer_decision out;
+    join_decision out;
     if (members.is_member(requester))
     {
         return out;
     }
     learner new_learner;
     new_learner.id = requester;
-    new_learner.promote = members.voters.size() < settings.wanted_voters;
+    new_learner.promote = members.voters.size() < settings.target_voters;
     for (const replica_id& voter : members.voters)
     {
         if (!hooks.same_host(voter, requester))
@@ -52,8 +51,8 @@
     return out;
 }
 
-std::optional<replica_id> find_forgotten(const membership& members, const newcomer_settings& settings,
-                                         const newcomer_hooks& hooks, monotonic_time now)
+std::optional<replica_id> find_expired_learner(const membership& members, const join_settings& settings,
+                                               const join_hooks& hooks, monotonic_time now)
 {
     for (const learner& item : members.learners)
     {
--- a/src/replication/replica.cpp
+++ b/src/replication/replica.cpp
@@ -33,12 +33,12 @@
     m_output_index = m_synced;
     recompute_members();
     // A leader may still rely on a lease that was granted before the restart.
-    m_promise =
-        std::clamp(duration{m_state.lease_duration}, m_settings.election_timeout, m_settings.election_most);
+    m_lease_duration = std::clamp(duration{m_state.lease_duration}, m_settings.election_timeout,
+                                  m_settings.max_election_timeout);
     // A restarted leader no longer holds its lease, and while it held it nobody else could obtain one, so it
     // can campaign without waiting.
     const bool led_last = m_state.leader == m_self;
-    set_election_timer(led_last ? duration{0} : m_promise, now);
+    set_election_timer(led_last ? duration{0} : m_lease_duration, now);
 }
 
 // ---------------------------------------------------------------------------------------------------------
@@ -63,16 +63,16 @@
 {
     if (m_role != replica_role::leader)
     {
-        if (now >= m_election_at && m_members.is_voter(m_self) && !m_declines)
+        if (now >= m_election_at && m_members.is_voter(m_self) && !m_leadership_declined)
         {
             start_election(true, false, now);
         }
         return;
     }
-    step_down_if_alone(now);
+    step_down_without_quorum(now);
     if (m_role == replica_role::leader)
     {
-        adapt_promise(now);
+        extend_lease_duration(now);
         advance_members(now);
         send_to_all(true, now);
     }
@@ -150,7 +150,7 @@
     return done{};
 }
 
-void replica::hand_over(monotonic_time now)
+void replica::transfer_leadership(monotonic_time now)
 {
     if (m_role != replica_role::leader || m_transferring)
     {
@@ -172,7 +172,7 @@
     m_transferring = true;
     m_transfer_started = now;
     send_append(*best, now);
-    send(*best, election_order{m_state.term});
+    send(*best, timeout_now_request{m_state.term});
 }
 
 // ---------------------------------------------------------------------------------------------------------
@@ -253,9 +253,9 @@
     return out;
 }
 
-bool replica::wants_snapshot() const
+bool replica::snapshot_due() const
 {
-    return m_applied.value() >= m_snapshot_index.value() + m_settings.snapshot_every;
+    return m_applied.value() >= m_snapshot_index.value() + m_settings.snapshot_interval;
 }
 
 bool replica::holds_lease(monotonic_time now) const
--- a/src/replication/replica_election.cpp
+++ b/src/replication/replica_election.cpp
@@ -11,8 +11,8 @@
 {
 // A leader extends the requested lease by lease_extension_factor once the last contact with its quorum is
 // older than this fraction of the lease.
-constexpr double slow_part = 0.6;
-constexpr double longer_factor = 1.5;
+constexpr double lease_extension_threshold = 0.6;
+constexpr double lease_extension_factor = 1.5;
 } // namespace
 
 // ---------------------------------------------------------------------------------------------------------
@@ -31,8 +31,8 @@
         m_output.state = m_state;
     }
     // A pre-vote is repeated after one round of staggered campaigns; a vote must allow for slow fsyncs.
-    const duration round = m_settings.election_step * static_cast<std::int64_t>(m_members.voters.size());
-    set_election_timer(pre ? round : m_settings.vote_patience, now);
+    const duration round = m_settings.election_stagger * static_cast<std::int64_t>(m_members.voters.size());
+    set_election_timer(pre ? round : m_settings.vote_timeout, now);
     if (m_members.quorum() == 1)
     {
         pre ? start_election(false, transfer, now) : become_leader(now);
@@ -76,7 +76,7 @@
     {
         m_state.vote = from;
         m_output.state = m_state;
-        set_election_timer(m_settings.vote_patience, now);
+        set_election_timer(m_settings.vote_timeout, now);
     }
     send(from, vote_reply{m_state.term, granted, false});
 }
@@ -102,10 +102,10 @@
     }
 }
 
-void replica::handle(const replica_id& /*from*/, const election_order& m, monotonic_time now)
+void replica::handle(const replica_id& /*from*/, const timeout_now_request& m, monotonic_time now)
 {
-    const bool may_stand = m_members.is_voter(m_self) && !m_declines;
-    if (m.term == m_state.term && m_role == replica_role::follower && may_stand)
+    const bool may_campaign = m_members.is_voter(m_self) && !m_leadership_declined;
+    if (m.term == m_state.term && m_role == replica_role::follower && may_campaign)
     {
         start_election(false, true, now);
     }
@@ -123,28 +123,28 @@
     m_leader = leader;
     m_transferring = false;
     m_progress.clear();
-    set_election_timer(m_promise, now);
+    set_election_timer(m_lease_duration, now);
 }
 
 // Records contact with the leader and grants the requested lease. A longer lease is made durable before the
 // reply, so that it is honoured after a restart. The leader of a later term starts with its own duration, as
 // all earlier leases have expired by then.
-void replica::heed_leader(term_id term, const replica_id& leader, std::int64_t asked, monotonic_time now)
+void replica::follow_leader(term_id term, const replica_id& leader, std::int64_t asked, monotonic_time now)
 {
     const duration wanted =
-        std::clamp(duration{asked}, m_settings.election_timeout, m_settings.election_most);
-    const bool later = term > m_promise_term;
-    if (later || wanted > m_promise)
+        std::clamp(duration{asked}, m_settings.election_timeout, m_settings.max_election_timeout);
+    const bool later = term > m_lease_term;
+    if (later || wanted > m_lease_duration)
     {
-        m_promise = wanted;
-        m_promise_term = term;
+        m_lease_duration = wanted;
+        m_lease_term = term;
     }
-    const bool changed = m_promise.count() > m_state.lease_duration || m_state.leader != leader;
+    const bool changed = m_lease_duration.count() > m_state.lease_duration || m_state.leader != leader;
     become_follower(term, leader, now);
     m_last_leader_contact = now;
     if (later || changed)
     {
-        m_state.lease_duration = m_promise.count();
+        m_state.lease_duration = m_lease_duration.count();
         m_state.leader = leader;
         m_output.state = m_state;
     }
@@ -152,24 +152,25 @@
 
 // When a quorum replies slowly, for instance because of slow disks, a short lease would expire between two
 // replies and the leader would be deposed repeatedly.
-void replica::adapt_promise(monotonic_time now)
+void replica::extend_lease_duration(monotonic_time now)
 {
-    const duration silence = now - std::max(quorum_contact(now), m_leader_since);
-    const auto extension_threshold = std::chrono::duration_cast<duration>(m_promise * slow_part);
-    if (silence < extension_threshold || m_promise >= m_settings.election_most)
+    const duration silence = now - std::max(quorum_contact_time(now), m_leader_since);
+    const auto extension_threshold =
+        std::chrono::duration_cast<duration>(m_lease_duration * lease_extension_threshold);
+    if (silence < extension_threshold || m_lease_duration >= m_settings.max_election_timeout)
     {
         return;
     }
-    const auto extended = std::chrono::duration_cast<duration>(m_promise * longer_factor);
-    m_promise = std::min(extended, m_settings.election_most);
-    m_lease_requests.push_back({now, m_promise});
+    const auto extended = std::chrono::duration_cast<duration>(m_lease_duration * lease_extension_factor);
+    m_lease_duration = std::min(extended, m_settings.max_election_timeout);
+    m_lease_requests.push_back({now, m_lease_duration});
 }
 
 // The lease duration that a message sent by this leader at the given time requested.
-duration replica::promise_asked_at(monotonic_time sent) const
+duration replica::requested_lease_at(monotonic_time sent) const
 {
     duration asked = m_lease_requests.front().lease_duration;
-    for (const asked_promise& item : m_lease_requests)
+    for (const lease_request& item : m_lease_requests)
     {
         asked = item.since < sent ? item.lease_duration : asked;
     }
@@ -181,9 +182,9 @@
     m_role = replica_role::leader;
     m_leader = m_self;
     m_leader_since = now;
-    m_promise = m_settings.election_timeout;
-    m_lease_requests = {{now, m_promise}};
-    m_promise_term = m_state.term;
+    m_lease_duration = m_settings.election_timeout;
+    m_lease_requests = {{now, m_lease_duration}};
+    m_lease_term = m_state.term;
     m_state.leader = m_self;
     m_output.state = m_state;
     m_transferring = false;
@@ -193,13 +194,13 @@
     append_local(entry_kind::no_op, {});
 }
 
-void replica::step_down_if_alone(monotonic_time now)
+void replica::step_down_without_quorum(monotonic_time now)
 {
-    const monotonic_time contact = std::max(quorum_contact(now), m_leader_since);
-    const bool quorum_lost = now - contact > m_promise;
-    const bool order_ran_out = m_transferring && now - m_transfer_started > m_promise;
+    const monotonic_time contact = std::max(quorum_contact_time(now), m_leader_since);
+    const bool quorum_lost = now - contact > m_lease_duration;
+    const bool transfer_timed_out = m_transferring && now - m_transfer_started > m_lease_duration;
     const bool removed = !m_members.is_voter(m_self) && m_members_index <= m_commit;
-    if (quorum_lost || order_ran_out || removed)
+    if (quorum_lost || transfer_timed_out || removed)
     {
         become_follower(m_state.term, {}, now);
     }
@@ -209,14 +210,14 @@
 // by the term. The first half step gives all of them time to detect the loss of the leader.
 void replica::set_election_timer(duration wait, monotonic_time now)
 {
-    const auto rank = static_cast<std::int64_t>(own_rank());
-    const duration step = m_settings.election_step;
+    const auto rank = static_cast<std::int64_t>(election_rank());
+    const duration step = m_settings.election_stagger;
     const auto jitter =
         static_cast<std::int64_t>(m_random() % static_cast<std::uint64_t>(step.count() / 4 + 1));
     m_election_at = now + wait + step / 2 + step * rank + duration{jitter};
 }
 
-std::size_t replica::own_rank() const
+std::size_t replica::election_rank() const
 {
     const auto& voters = m_members.voters;
     const auto self = std::find(voters.begin(), voters.end(), m_self);
@@ -235,13 +236,13 @@
 
 bool replica::has_live_leader(monotonic_time now) const
 {
-    return m_role == replica_role::leader ? quorum_contact(now) + m_promise > now
-                                          : m_last_leader_contact + m_promise > now;
+    return m_role == replica_role::leader ? quorum_contact_time(now) + m_lease_duration > now
+                                          : m_last_leader_contact + m_lease_duration > now;
 }
 
 // A lower bound of each voter's last contact with this leader: the send time of the last message it replied
 // to.
-std::vector<monotonic_time> replica::voters_contact(monotonic_time now) const
+std::vector<monotonic_time> replica::voter_contact_times(monotonic_time now) const
 {
     std::vector<monotonic_time> times;
     for (const replica_id& voter : m_members.voters)
@@ -253,9 +254,9 @@
     return times;
 }
 
-monotonic_time replica::quorum_contact(monotonic_time now) const
+monotonic_time replica::quorum_contact_time(monotonic_time now) const
 {
-    std::vector<monotonic_time> times = voters_contact(now);
+    std::vector<monotonic_time> times = voter_contact_times(now);
     if (times.empty())
     {
         return monotonic_time{};
@@ -270,12 +271,12 @@
 // next leader.
 monotonic_time replica::lease_end(monotonic_time now) const
 {
-    const double safe_part = 1.0 - 2.0 * m_settings.clock_drift;
+    const double drift_factor = 1.0 - 2.0 * m_settings.clock_drift;
     std::vector<monotonic_time> ends;
-    for (const monotonic_time contact : voters_contact(now))
+    for (const monotonic_time contact : voter_contact_times(now))
     {
-        const duration requested_duration = promise_asked_at(contact);
-        ends.push_back(contact + std::chrono::duration_cast<duration>(requested_duration * safe_part));
+        const duration requested_duration = requested_lease_at(contact);
+        ends.push_back(contact + std::chrono::duration_cast<duration>(requested_duration * drift_factor));
     }
     if (ends.empty())
     {
--- a/src/replication/replica_log.cpp
+++ b/src/replication/replica_log.cpp
@@ -12,13 +12,13 @@
 namespace
 {
 // A large batch is resent after this many heartbeats without a reply.
-constexpr int heartbeats_for_entries = 3;
+constexpr int append_timeout_heartbeats = 3;
 // Batches up to this size are cheap enough to resend with each heartbeat.
-constexpr std::size_t cheap_to_repeat = 64U << 10U;
+constexpr std::size_t resend_limit_bytes = 64U << 10U;
 // Allows for sending and loading some megabytes on a small host under load.
-constexpr duration snapshot_patience = seconds(3);
+constexpr duration snapshot_timeout = seconds(3);
 // Entries of half a second at peak load, when a follower never fully catches up.
-constexpr std::uint64_t promotion_lag = 512;
+constexpr std::uint64_t max_promotion_lag = 512;
 
 log_index after(log_index index)
 {
@@ -47,7 +47,7 @@
         send(from, append_reply{m_state.term, false, m_log.last_index(), m.sent_at});
         return;
     }
-    heed_leader(m.term, from, m.lease_duration, now);
+    follow_leader(m.term, from, m.lease_duration, now);
     if (m.previous_index < m_commit)
     {
         send(from, append_reply{m_state.term, true, m_commit, m.sent_at});
@@ -127,7 +127,7 @@
     p.acked_sent_at = std::max(p.acked_sent_at, from_stamp(m.sent_at));
     p.snapshot_in_flight = false;
     // The reply to a heartbeat does not acknowledge entries that are still in flight.
-    const bool large = p.in_flight_bytes > cheap_to_repeat;
+    const bool large = p.in_flight_bytes > resend_limit_bytes;
     p.in_flight = p.in_flight && large && m.accepted && m.match < p.in_flight_to;
     if (!m.accepted)
     {
@@ -147,7 +147,7 @@
         send(from, append_reply{m_state.term, false, m_log.last_index(), m.sent_at});
         return;
     }
-    heed_leader(m.term, from, m.lease_duration, now);
+    follow_leader(m.term, from, m.lease_duration, now);
     if (m_log.term_at(m.content.index) == m.content.term)
     {
         // The log already contains the snapshot's entries, and later ones may have been acknowledged: keep
@@ -178,13 +178,13 @@
     p.last_sent = now;
     if (p.next <= m_log.base_index())
     {
-        const bool recent = p.snapshot_in_flight && now - p.snapshot_sent < snapshot_patience;
+        const bool recent = p.snapshot_in_flight && now - p.snapshot_sent < snapshot_timeout;
         if (!recent)
         {
             p.snapshot_in_flight = true;
             p.snapshot_sent = now;
             const snapshot content{m_snapshot_index, m_snapshot_term, m_snapshot_members, m_snapshot_data};
-            send(to, snapshot_request{m_state.term, to_stamp(now), m_promise.count(), content});
+            send(to, snapshot_request{m_state.term, to_stamp(now), m_lease_duration.count(), content});
         }
         return;
     }
@@ -195,7 +195,7 @@
     request.previous_term = *m_log.term_at(previous);
     request.commit = m_commit;
     request.sent_at = to_stamp(now);
-    request.lease_duration = m_promise.count();
+    request.lease_duration = m_lease_duration.count();
     request.entries = m_log.slice(p.next, m_settings.append_bytes);
     p.in_flight = !request.entries.empty();
     p.in_flight_to = log_index{previous.value() + request.entries.size()};
@@ -222,7 +222,7 @@
     request.previous_term = *known;
     request.commit = std::min(m_commit, p.match);
     request.sent_at = to_stamp(now);
-    request.lease_duration = m_promise.count();
+    request.lease_duration = m_lease_duration.count();
     p.last_sent = now;
     send(to, std::move(request));
 }
@@ -233,8 +233,8 @@
     {
         const bool due = heartbeat && now - p.last_sent >= m_settings.heartbeat;
         const bool large_batch_in_flight =
-            p.in_flight && p.in_flight_bytes > cheap_to_repeat &&
-            now - p.in_flight_since < heartbeats_for_entries * m_settings.heartbeat;
+            p.in_flight && p.in_flight_bytes > resend_limit_bytes &&
+            now - p.in_flight_since < append_timeout_heartbeats * m_settings.heartbeat;
         if (due && large_batch_in_flight)
         {
             send_heartbeat(id, p, now);
@@ -361,7 +361,7 @@
         const bool promoted = m_members.is_voter(item.id);
         const progress& p = m_progress[item.id];
         const bool caught_up =
-            p.match.value() + promotion_lag >= m_log.last_index().value() && p.match >= m_term_start;
+            p.match.value() + max_promotion_lag >= m_log.last_index().value() && p.match >= m_term_start;
         const auto same = [&item](const learner& l)
         {
             return l.id == item.id;
--- a/src/replication/replicated_group.cpp
+++ b/src/replication/replicated_group.cpp
@@ -5,7 +5,7 @@
 namespace walkthread
 {
 
-replicated_group::replicated_group(group_id id, replica core, state_hooks hooks)
+replicated_group::replicated_group(group_id id, replica core, state_machine_hooks hooks)
     : m_id(id), m_core(std::move(core)), m_hooks(std::move(hooks)), m_applied(m_core.commit_index()),
       m_stored_snapshot(m_core.commit_index())
 {
@@ -60,7 +60,7 @@
 
 std::optional<snapshot> replicated_group::compact_if_due()
 {
-    if (!m_core.wants_snapshot())
+    if (!m_core.snapshot_due())
     {
         return std::nullopt;
     }
@@ -68,10 +68,10 @@
     return m_core.compact(m_applied, m_hooks.save());
 }
 
-replica_start replicated_group::live_part() const
+replica_start replicated_group::retained_state() const
 {
     replica_start part;
-    part.state = m_core.present_state();
+    part.state = m_core.persistent_state();
     part.base.index = m_stored_snapshot;
     const log_tail& log = m_core.log();
     for (log_index i{m_stored_snapshot.value() + 1}; i <= log.last_index(); i = log_index{i.value() + 1})
--- a/src/state/claims.cpp
+++ b/src/state/claims.cpp
@@ -15,7 +15,7 @@
 
 claim_result claim_table::claim(wall_ms at, const claim_request& request)
 {
-    forget_older_than(at - request.window);
+    evict_older_than(at - request.window);
     const claim_key key{request.organisation, request.key};
     const auto found = m_claims.find(key);
     if (found == m_claims.end())
@@ -93,7 +93,7 @@
     return {0, claim.phase, claim.status, {}};
 }
 
-void claim_table::forget_older_than(wall_ms key_time)
+void claim_table::evict_older_than(wall_ms key_time)
 {
     while (!m_by_time.empty() && m_by_time.begin()->first < key_time)
     {
--- a/src/state/estimate.cpp
+++ b/src/state/estimate.cpp
@@ -24,7 +24,7 @@
 std::int64_t run_estimate::predict_ms(std::int64_t declared_seconds) const
 {
     const double declared = static_cast<double>(std::max<std::int64_t>(declared_seconds, 1)) * ms_per_second;
-    return static_cast<std::int64_t>(declared * (m_mean + safety_margin * m_deviation));
+    return static_cast<std::int64_t>(declared * (m_mean + deviation_factor * m_deviation));
 }
 
 } // namespace walkthread
--- a/src/state/hall.cpp
+++ b/src/state/hall.cpp
@@ -11,7 +11,8 @@
 
 bool hall_job::held() const
 {
-    return failed_on.size() >= hall_state::hold_after || failures >= hall_state::hold_after_failures;
+    return failed_on.size() >= hall_state::hold_after_failed_hosts ||
+           failures >= hall_state::hold_after_failures;
 }
 
 resources worker_record::free() const
@@ -50,7 +51,7 @@
     if (may_run_tasks && command.previous != worker.epoch)
     {
         hall_result refused;
-        refused.code = static_cast<int>(state_code::lease_not_over);
+        refused.code = static_cast<int>(state_code::lease_active);
         return refused;
     }
     if (known)
@@ -79,7 +80,7 @@
     return answer;
 }
 
-hall_result hall_state::run(wall_ms at, const lose_workers& command)
+hall_result hall_state::run(wall_ms at, const mark_workers_lost& command)
 {
     for (const worker_epoch& expired : command.workers)
     {
@@ -116,7 +117,7 @@
             const bool movable = job.spec.repeatable || job.spec.workload() == workload_kind::service;
             if (command.draining && movable)
             {
-                order_stop(at, job, task.index, stop_reason::drained);
+                request_stop(at, job, task.index, stop_reason::drained);
             }
         }
     }
@@ -177,11 +178,11 @@
 
 hall_result hall_state::run(wall_ms at, const admit_jobs& command)
 {
-    if (command.root_index < m_root_seen)
+    if (command.root_index < m_applied_root_index)
     {
         return {};
     }
-    m_root_seen = command.root_index;
+    m_applied_root_index = command.root_index;
     for (const job_spec& spec : command.jobs)
     {
         const std::uint32_t count = spec.tasks_in(m_hall);
@@ -217,7 +218,7 @@
 
 hall_result hall_state::run(wall_ms /*at*/, const forget_jobs& command)
 {
-    m_root_seen = std::max(m_root_seen, command.root_index);
+    m_applied_root_index = std::max(m_applied_root_index, command.root_index);
     for (const job_id id : command.jobs)
     {
         const auto found = m_jobs.find(id);
@@ -245,7 +246,7 @@
         }
         else if (task.on_host())
         {
-            order_stop(at, job, i, stop_reason::cancelled);
+            request_stop(at, job, i, stop_reason::cancelled);
         }
     }
     record_change(job);
--- a/src/state/hall_runs.cpp
+++ b/src/state/hall_runs.cpp
@@ -171,7 +171,7 @@
     case run_event::accepted:
         return;
     case run_event::completed:
-        end_well(at, *job, index);
+        end_completed(at, *job, index);
         return;
     case run_event::failed:
         end_failed(at, *job, index);
@@ -183,7 +183,7 @@
     }
 }
 
-void hall_state::end_well(wall_ms at, hall_job& job, std::uint32_t index)
+void hall_state::end_completed(wall_ms at, hall_job& job, std::uint32_t index)
 {
     const task_record& task = job.tasks[index];
     worker_record& worker = m_workers.at(task.worker);
@@ -260,25 +260,25 @@
 {
     for (std::uint32_t i = 0; i < job.tasks.size(); ++i)
     {
-        order_stop(at, job, i, stop_reason::gang);
+        request_stop(at, job, i, stop_reason::gang);
     }
 }
 
 hall_result hall_state::run(wall_ms at, const stop_runs& command)
 {
-    for (const stop_order& order : command.orders)
+    for (const stop_request& order : command.orders)
     {
         const auto found = m_jobs.find(order.run.task.job);
         const bool known = found != m_jobs.end() && order.run.task.index < found->second.tasks.size();
         if (known && found->second.tasks[order.run.task.index].run == order.run.run)
         {
-            order_stop(at, found->second, order.run.task.index, static_cast<stop_reason>(order.reason));
+            request_stop(at, found->second, order.run.task.index, static_cast<stop_reason>(order.reason));
         }
     }
     return {};
 }
 
-void hall_state::order_stop(wall_ms at, hall_job& job, std::uint32_t index, stop_reason reason)
+void hall_state::request_stop(wall_ms at, hall_job& job, std::uint32_t index, stop_reason reason)
 {
     task_record& task = job.tasks[index];
     if (task.state() != task_phase::placed && task.state() != task_phase::running)
--- a/src/state/root.cpp
+++ b/src/state/root.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 // A repeated request id is recognized as a duplicate for 24 h.
-constexpr wall_ms request_memory = wall_ms{24} * 3600 * 1000;
+constexpr wall_ms request_retention = wall_ms{24} * 3600 * 1000;
 constexpr std::size_t max_ended_jobs = 4096; // number of ended jobs kept for queries
 
 root_result refuse(state_code code, std::string detail, version_id version = {})
@@ -40,17 +40,17 @@
 
 root_result root_state::apply(wall_ms at, const root_command& command)
 {
-    forget_old_requests(at);
+    evict_old_requests(at);
     return std::visit(
         [this, at](const auto& c)
         {
-            return run_once(at, c);
+            return run_idempotent(at, c);
         },
         command);
 }
 
 template <typename Command>
-root_result root_state::run_once(wall_ms at, const Command& command)
+root_result root_state::run_idempotent(wall_ms at, const Command& command)
 {
     if constexpr (requires { command.request_id; })
     {
@@ -75,12 +75,12 @@
     }
 }
 
-void root_state::forget_old_requests(wall_ms at)
+void root_state::evict_old_requests(wall_ms at)
 {
     while (!m_request_order.empty())
     {
         const auto found = m_requests.find(m_request_order.front());
-        if (found->second.at + request_memory >= at)
+        if (found->second.at + request_retention >= at)
         {
             return;
         }
@@ -144,7 +144,7 @@
                            version_id{current.value() + 1},
                            false,
                            {}};
-    return start_job(at, key, config, command.parts);
+    return create_job(at, key, config, command.parts);
 }
 
 root_result root_state::run(wall_ms /*at*/, const withdraw_configuration& command)
@@ -181,7 +181,7 @@
         return refuse(state_code::bad_parameter, "A service runs already; change its configuration instead.",
                       found->second.version);
     }
-    return start_job(at, key, found->second, command.parts);
+    return create_job(at, key, found->second, command.parts);
 }
 
 root_result root_state::run(wall_ms /*at*/, const cancel_jobs& command)
@@ -225,8 +225,8 @@
     return {};
 }
 
-root_result root_state::start_job(wall_ms at, const name_key& key, configuration& config,
-                                  const std::vector<hall_part>& parts)
+root_result root_state::create_job(wall_ms at, const name_key& key, configuration& config,
+                                   const std::vector<hall_part>& parts)
 {
     const workload_template& stored_template = m_templates.at({key.first, config.template_name});
     const job_id id{m_next_job++};
--- a/src/storage/data_folder.cpp
+++ b/src/storage/data_folder.cpp
@@ -18,7 +18,7 @@
 {
 // The log is rewritten once it has grown to this multiple of its size after the last rewrite, but not below
 // the minimum size.
-constexpr std::uint64_t least_rewrite_bytes = 8U << 20U;
+constexpr std::uint64_t min_rewrite_bytes = 8U << 20U;
 constexpr std::uint64_t rewrite_factor = 4;
 const std::string identity_name = "identity";
 const std::string log_prefix = "wal-";
@@ -86,7 +86,7 @@
 } // namespace
 
 data_folder::data_folder(std::string path, folder_identity identity)
-    : m_path(std::move(path)), m_identity(std::move(identity)), m_rewrite_at(least_rewrite_bytes)
+    : m_path(std::move(path)), m_identity(std::move(identity)), m_rewrite_at(min_rewrite_bytes)
 {
 }
 
@@ -149,7 +149,7 @@
     }
     const auto take = [this](log_record record)
     {
-        take_record(std::move(record));
+        apply_record(std::move(record));
     };
     const auto valid_bytes = detail::read_records(value_of(bytes), last, take);
     if (!ok(valid_bytes))
@@ -188,7 +188,7 @@
     return done{};
 }
 
-void data_folder::take_record(log_record record)
+void data_folder::apply_record(log_record record)
 {
     if (auto* entry = std::get_if<entry_record>(&record))
     {
@@ -219,7 +219,7 @@
     }
 }
 
-replica_start data_folder::start_of(group_id group) const
+replica_start data_folder::recovered_state(group_id group) const
 {
     const auto found = m_recovered.find(group);
     replica_start start = found == m_recovered.end() ? replica_start{} : found->second;
@@ -349,7 +349,7 @@
         return storage_error{storage_code::cannot_sync, error_of(opened).detail};
     }
     m_log_bytes = bytes.size();
-    m_rewrite_at = std::max(least_rewrite_bytes, rewrite_factor * m_log_bytes);
+    m_rewrite_at = std::max(min_rewrite_bytes, rewrite_factor * m_log_bytes);
     std::filesystem::remove(m_path + '/' + log_name(old));
     return detail::sync_folder(m_path);
 }
--- a/src/storage/records.cpp
+++ b/src/storage/records.cpp
@@ -39,7 +39,7 @@
 }
 
 /// Whether the bytes contain a valid record after their first byte.
-bool has_good_record(std::string_view bytes)
+bool contains_valid_record(std::string_view bytes)
 {
     record_header header{};
     std::string magic(sizeof(record_magic), '\0');
@@ -74,7 +74,7 @@
         const std::string_view rest = bytes.substr(at);
         if (!is_valid_record(rest, header))
         {
-            const bool torn = torn_tail_allowed && !has_good_record(rest);
+            const bool torn = torn_tail_allowed && !contains_valid_record(rest);
             if (torn)
             {
                 return at;
--- a/tests/src/replica_network.hpp
+++ b/tests/src/replica_network.hpp
@@ -233,7 +233,7 @@
                 apply(m, entry);
             }
         }
-        if (m.core->wants_snapshot())
+        if (m.core->snapshot_due())
         {
             const snapshot made = m.core->compact(m.applied, "state at " + std::to_string(m.applied.value()));
             m.disk.base = made;
--- a/tests/src/unit-claims.cpp
+++ b/tests/src/unit-claims.cpp
@@ -34,7 +34,7 @@
 }
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_claim_is_given_once)
+BOOST_AUTO_TEST_CASE(claim_is_granted_once)
 {
     claim_table table;
     BOOST_TEST(table.claim(now, claim(1)).code == 0);
@@ -43,7 +43,7 @@
 }
 
 // The holder crashed: a resend gets a definite answer (unknown outcome) and the request is never sent again.
-BOOST_AUTO_TEST_CASE(a_claim_held_for_too_long_is_unknown)
+BOOST_AUTO_TEST_CASE(claim_held_too_long_has_unknown_outcome)
 {
     claim_table table;
     table.claim(now, claim(1));
@@ -53,7 +53,7 @@
     BOOST_TEST(table.claim(now + 60'002, claim(2)).body == "late");
 }
 
-BOOST_AUTO_TEST_CASE(a_completed_claim_gives_its_answer_again)
+BOOST_AUTO_TEST_CASE(completed_claim_replays_its_response)
 {
     claim_table table;
     table.claim(now, claim(1));
@@ -83,7 +83,7 @@
 }
 
 // The claim was delayed in the network, and its attempt released it in the meantime.
-BOOST_AUTO_TEST_CASE(a_release_that_comes_before_its_claim_holds)
+BOOST_AUTO_TEST_CASE(release_before_claim_takes_effect)
 {
     claim_table table;
     BOOST_TEST(table.settle(settle(1, claim_phase::released)).code == 0);
@@ -113,7 +113,7 @@
 }
 
 // An evicted key is refused even if the window is extended later.
-BOOST_AUTO_TEST_CASE(a_forgotten_key_never_runs_again)
+BOOST_AUTO_TEST_CASE(evicted_key_is_refused)
 {
     claim_table table;
     table.claim(now, claim(1));
@@ -136,7 +136,7 @@
     BOOST_TEST(table.claim(now, other).code == 0);
 }
 
-BOOST_AUTO_TEST_CASE(a_key_tells_its_time)
+BOOST_AUTO_TEST_CASE(key_contains_its_creation_time)
 {
     BOOST_TEST(time_of_key("01931b60-0000-7000-8000-000000000000").value() == 0x01931b600000LL);
     BOOST_TEST(!time_of_key("01931b60-0000-4000-8000-000000000000"));
--- a/tests/src/unit-hall.cpp
+++ b/tests/src/unit-hall.cpp
@@ -92,7 +92,7 @@
     hall.submit(spec);
     hall.plan();
     const task_record& task = hall.state().jobs().at(spec.id).tasks[0];
-    hall.apply(lose_workers{{{task.worker, epoch_id{1}}}});
+    hall.apply(mark_workers_lost{{{task.worker, epoch_id{1}}}});
     hall.plan_all();
     BOOST_TEST(hall.running_in(spec.id) == 0U);
     BOOST_TEST(hall.state().jobs().at(spec.id).outcome == static_cast<std::uint8_t>(job_outcome::unknown));
@@ -123,7 +123,7 @@
         }
         else
         {
-            hall.apply(lose_workers{{{task.worker, epoch_id{1}}}, {run}});
+            hall.apply(mark_workers_lost{{{task.worker, epoch_id{1}}}, {run}});
         }
         hall.plan_all();
         BOOST_TEST(hall.running_in(spec.id) == 1U);
@@ -201,9 +201,9 @@
     const job_id job = hall.submit(hall.make_job(workload_kind::batch, 1, whole));
     hall.plan();
     const register_worker delayed{worker_id{1}, rack_id{0}, "10.0.0.1", 80, host_size, epoch_id{0}};
-    BOOST_TEST(hall.apply(delayed).code == static_cast<int>(state_code::lease_not_over));
+    BOOST_TEST(hall.apply(delayed).code == static_cast<int>(state_code::lease_active));
     BOOST_TEST(hall.running_in(job) == 1U);
-    hall.apply(lose_workers{{{worker_id{1}, epoch_id{1}}}});
+    hall.apply(mark_workers_lost{{{worker_id{1}, epoch_id{1}}}});
     BOOST_TEST(hall.apply(delayed).epoch.value() == 2U);
 }
 
@@ -277,7 +277,7 @@
                 }
                 break;
             case 4:
-                hall.apply(lose_workers{{{worker, hall.state().workers().at(worker).epoch}}});
+                hall.apply(mark_workers_lost{{{worker, hall.state().workers().at(worker).epoch}}});
                 break;
             case 5:
                 hall.apply(register_worker{worker, rack_id{1}, "10.0.0.1", 80, host_size, epoch_id{pick(4)}});
--- a/tests/src/unit-handover.cpp
+++ b/tests/src/unit-handover.cpp
@@ -7,12 +7,12 @@
 using namespace walkthread::test;
 
 // A leadership transfer elects another leader without waiting for the election timeout.
-BOOST_AUTO_TEST_CASE(leadership_is_handed_over)
+BOOST_AUTO_TEST_CASE(leadership_is_transferred)
 {
     replica_network net(3, 9, {0.0, 0.0, 0.0});
     net.run(seconds(5));
     const replica_id old = net.find_leader()->self();
-    net.core(old).hand_over(net.local_time(old));
+    net.core(old).transfer_leadership(net.local_time(old));
     net.run(milliseconds(400));
     BOOST_REQUIRE(net.find_leader() != nullptr);
     BOOST_TEST((net.find_leader()->self() != old));
@@ -20,15 +20,15 @@
 
 // A leader whose disk rejects writes transfers leadership and campaigns again only once the disk accepts
 // them.
-BOOST_AUTO_TEST_CASE(a_replica_that_declines_hands_over_and_does_not_lead_again_until_it_may)
+BOOST_AUTO_TEST_CASE(declining_leader_transfers_leadership_until_reenabled)
 {
     for (std::uint64_t seed = 1; seed <= 10; ++seed)
     {
         replica_network net(3, seed, {0.0, 0.0, 0.0});
         net.run(seconds(5));
         const replica_id old = net.find_leader()->self();
-        net.core(old).decline_leadership(true);
-        net.core(old).hand_over(net.local_time(old));
+        net.core(old).set_leadership_declined(true);
+        net.core(old).transfer_leadership(net.local_time(old));
         net.run(seconds(2));
         for (int i = 0; i < 20; ++i)
         {
@@ -36,7 +36,7 @@
             BOOST_REQUIRE(net.find_leader() != nullptr);
             BOOST_REQUIRE((net.find_leader()->self() != old));
         }
-        net.core(old).decline_leadership(false);
+        net.core(old).set_leadership_declined(false);
         bool led = false;
         for (int i = 0; i < 50 && !led; ++i)
         {
@@ -45,7 +45,7 @@
             led = leader != nullptr && leader->self() == old;
             if (leader != nullptr && !led)
             {
-                net.core(leader->self()).hand_over(net.local_time(leader->self()));
+                net.core(leader->self()).transfer_leadership(net.local_time(leader->self()));
             }
         }
         BOOST_TEST(led);
--- a/tests/src/unit-leases.cpp
+++ b/tests/src/unit-leases.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 // A short lease that is extended when a quorum replies slowly.
-replica_settings quick_settings()
+replica_settings short_lease_settings()
 {
     replica_settings settings;
     settings.heartbeat = milliseconds(100);
@@ -22,13 +22,13 @@
 // requests longer leases while its quorum does not reply (350, 525, 787 and 1,000 ms) and computed its own
 // lease from a duration that nobody had acknowledged: 0.75 s instead of 0.34 s. Only durations requested in
 // acknowledged messages may count.
-BOOST_AUTO_TEST_CASE(a_leader_that_is_cut_off_counts_no_promise_that_nobody_gave)
+BOOST_AUTO_TEST_CASE(partitioned_leader_counts_only_acknowledged_lease_requests)
 {
     for (std::uint64_t seed = 1; seed <= 60; ++seed)
     {
         BOOST_TEST_CONTEXT("seed " << seed)
         {
-            replica_network net(3 + 2 * (seed % 2), seed, {0.0, 0.0, 0.04, 5}, quick_settings());
+            replica_network net(3 + 2 * (seed % 2), seed, {0.0, 0.0, 0.04, 5}, short_lease_settings());
             net.run(seconds(3));
             for (int round = 0; round < 4; ++round)
             {
--- a/tests/src/unit-newcomers.cpp
+++ b/tests/src/unit-newcomers.cpp
@@ -15,15 +15,15 @@
     return {node_id{node}, incarnation_id{incarnation}};
 }
 
-struct newcomer_fixture
+struct join_fixture
 {
     membership members;
-    newcomer_settings settings;
+    join_settings settings;
     monotonic_time now{seconds(100)};
     std::map<replica_id, monotonic_time> heard;
-    newcomer_hooks hooks;
+    join_hooks hooks;
 
-    newcomer_fixture()
+    join_fixture()
     {
         for (std::uint16_t node = 1; node <= 3; ++node)
         {
@@ -40,32 +40,32 @@
             return found == heard.end() ? std::nullopt : std::optional(found->second);
         };
     }
-    newcomer_decision decide(const replica_id& requester) const
+    join_decision decide(const replica_id& requester) const
     {
-        return judge_newcomer(members, requester, settings, hooks, now);
+        return decide_join(members, requester, settings, hooks, now);
     }
 };
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(a_lost_disk_comes_back_in_the_place_of_its_voter, newcomer_fixture)
+BOOST_FIXTURE_TEST_CASE(replica_with_lost_disk_replaces_its_voter, join_fixture)
 {
     now += seconds(1);
-    const newcomer_decision decided = decide(make_replica(2, 7));
+    const join_decision decided = decide(make_replica(2, 7));
     BOOST_REQUIRE(decided.add);
     BOOST_TEST(decided.add->promote);
     BOOST_TEST((decided.add->replaces == make_replica(2, 1)));
 }
 
 // The join request of a replica whose disk was lost again arrives after its successor has joined.
-BOOST_FIXTURE_TEST_CASE(a_request_that_comes_late_replaces_nobody, newcomer_fixture)
+BOOST_FIXTURE_TEST_CASE(late_join_request_is_ignored, join_fixture)
 {
-    const newcomer_decision decided = decide(make_replica(2, 7));
+    const join_decision decided = decide(make_replica(2, 7));
     BOOST_TEST(!decided.add);
     BOOST_TEST(!decided.remove);
     BOOST_TEST((decided.live_replica == make_replica(2, 1)));
 }
 
-BOOST_FIXTURE_TEST_CASE(a_newcomer_that_catches_up_is_not_pushed_out_by_a_late_request, newcomer_fixture)
+BOOST_FIXTURE_TEST_CASE(live_learner_is_kept_on_late_join_request, join_fixture)
 {
     now += seconds(1);
     const replica_id successor = make_replica(2, 8);
@@ -76,19 +76,19 @@
     BOOST_TEST((decide(make_replica(2, 9)).remove == successor));
 }
 
-BOOST_FIXTURE_TEST_CASE(another_host_stands_by, newcomer_fixture)
+BOOST_FIXTURE_TEST_CASE(replica_on_another_host_becomes_standby, join_fixture)
 {
-    const newcomer_decision decided = decide(make_replica(4, 5));
+    const join_decision decided = decide(make_replica(4, 5));
     BOOST_REQUIRE(decided.add);
     BOOST_TEST(!decided.add->promote);
     BOOST_TEST(!decide(make_replica(1, 1)).add); // already a member
 }
 
-BOOST_FIXTURE_TEST_CASE(a_newcomer_that_never_answers_makes_room, newcomer_fixture)
+BOOST_FIXTURE_TEST_CASE(silent_learner_expires, join_fixture)
 {
     const replica_id silent = make_replica(4, 5);
     members.learners.push_back({silent, true, make_replica(2, 1)});
     heard[silent] = now;
-    BOOST_TEST(!find_forgotten(members, settings, hooks, now + seconds(9)));
-    BOOST_TEST((find_forgotten(members, settings, hooks, now + seconds(11)) == silent));
+    BOOST_TEST(!find_expired_learner(members, settings, hooks, now + seconds(9)));
+    BOOST_TEST((find_expired_learner(members, settings, hooks, now + seconds(11)) == silent));
 }
--- a/tests/src/unit-power.cpp
+++ b/tests/src/unit-power.cpp
@@ -23,7 +23,7 @@
 }
 
 // Proposes entries for a random time, so that appends, fsyncs and replies are in flight at the power loss.
-void propose_for_a_while(replica_network& net)
+void propose_random_load(replica_network& net)
 {
     const std::uint64_t count = 20 + net.random_below(40);
     for (std::uint64_t i = 0; i < count; ++i)
@@ -41,7 +41,7 @@
 
 // Stops all replicas and restarts them: those with a lost disk empty and under a new incarnation, the others
 // with their durable state.
-std::vector<lost_disk> lose_power_and_disks(replica_network& net)
+std::vector<lost_disk> crash_all_and_lose_disks(replica_network& net)
 {
     std::vector<replica_id> left = net.ids();
     for (const replica_id& id : left)
@@ -85,7 +85,7 @@
 }
 } // namespace
 
-BOOST_AUTO_TEST_CASE(what_was_committed_survives_two_lost_disks_and_a_loss_of_power)
+BOOST_AUTO_TEST_CASE(committed_entries_survive_two_lost_disks_and_power_loss)
 {
     for (std::uint64_t seed = 1; seed <= seed_count(); ++seed)
     {
@@ -95,9 +95,9 @@
             net.run(seconds(4));
             for (int round = 0; round < 2; ++round)
             {
-                propose_for_a_while(net);
+                propose_random_load(net);
                 const std::map<log_index, std::string> before = net.committed();
-                const std::vector<lost_disk> lost = lose_power_and_disks(net);
+                const std::vector<lost_disk> lost = crash_all_and_lose_disks(net);
                 repair(net, lost);
                 BOOST_REQUIRE_EQUAL(net.violation(),
                                     ""); // includes the check that no index gets two different entries
--- a/tests/src/unit-replication.cpp
+++ b/tests/src/unit-replication.cpp
@@ -14,20 +14,20 @@
 namespace
 {
 #ifdef WALKTHREAD_SANITIZED
-constexpr std::uint64_t usual_seeds = 150; // sanitized builds run at about a tenth of the speed
+constexpr std::uint64_t default_seeds = 150; // sanitized builds run at about a tenth of the speed
 #else
-constexpr std::uint64_t usual_seeds = 1000;
+constexpr std::uint64_t default_seeds = 1000;
 #endif
 
 // The number of seeds, unless set by WALKTHREAD_SEEDS.
 std::uint64_t seed_count()
 {
     const char* asked = std::getenv("WALKTHREAD_SEEDS");
-    return asked == nullptr ? usual_seeds : std::strtoull(asked, nullptr, 10);
+    return asked == nullptr ? default_seeds : std::strtoull(asked, nullptr, 10);
 }
 
 // A short lease that is extended when a quorum replies slowly.
-replica_settings quick_settings()
+replica_settings short_lease_settings()
 {
     replica_settings settings;
     settings.heartbeat = milliseconds(100);
@@ -64,7 +64,7 @@
     check_converged(net, 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_single_replica_leads_alone)
+BOOST_AUTO_TEST_CASE(single_replica_becomes_leader)
 {
     replica_network net(1, 1, {});
     net.run(seconds(5));
@@ -80,7 +80,7 @@
     const std::uint64_t seeds = seed_count();
     for (std::uint64_t seed = 1; seed <= seeds; ++seed)
     {
-        replica_settings settings = seed % 4 < 2 ? quick_settings() : replica_settings{};
+        replica_settings settings = seed % 4 < 2 ? short_lease_settings() : replica_settings{};
         settings.append_bytes = seed % 3 == 0 ? 1 : settings.append_bytes; // one entry per message
         replica_network net(3 + 2 * (seed % 2), seed, {0.05, 0.05, 0.04}, settings);
         for (int step = 0; step < 25; ++step)
@@ -107,7 +107,7 @@
                 net.start(a);
                 break;
             case 4:
-                net.core(a).hand_over(net.local_time(a));
+                net.core(a).transfer_leadership(net.local_time(a));
                 break;
             default:
                 break;
@@ -127,10 +127,10 @@
 }
 
 // A follower that needs entries already compacted by the leader gets a snapshot.
-BOOST_AUTO_TEST_CASE(a_late_follower_catches_up_by_snapshot)
+BOOST_AUTO_TEST_CASE(lagging_follower_catches_up_by_snapshot)
 {
     replica_settings settings;
-    settings.snapshot_every = 50;
+    settings.snapshot_interval = 50;
     settings.keep_entries = 10;
     replica_network net(3, 7, {}, settings);
     net.run(seconds(5));
@@ -147,12 +147,12 @@
 }
 
 // A replica with a lost disk rejoins as a new member; a second disk is lost right after the replacement.
-BOOST_AUTO_TEST_CASE(a_second_disk_is_lost_right_after_a_repair)
+BOOST_AUTO_TEST_CASE(second_disk_lost_right_after_repair)
 {
     for (std::uint64_t seed = 1; seed <= seed_count() / 3; ++seed)
     {
         replica_settings settings;
-        settings.snapshot_every = 64;
+        settings.snapshot_interval = 64;
         settings.keep_entries = 16;
         replica_network net(3, seed, {0.02, 0.02, 0.04}, settings);
         net.run(seconds(4));
@@ -204,7 +204,7 @@
 }
 
 // A leader without contact to its quorum steps down and another one is elected.
-BOOST_AUTO_TEST_CASE(a_cut_off_leader_steps_down)
+BOOST_AUTO_TEST_CASE(partitioned_leader_steps_down)
 {
     replica_network net(3, 5, {});
     net.run(seconds(5));
@@ -223,11 +223,11 @@
 
 // Staggered campaigns rarely split the vote and elect a leader within half a second; randomized timeouts
 // above 700 ms took about a second.
-BOOST_AUTO_TEST_CASE(a_lost_leader_is_replaced_soon)
+BOOST_AUTO_TEST_CASE(failed_leader_is_replaced_within_half_a_second)
 {
     for (std::uint64_t seed = 1; seed <= 50; ++seed)
     {
-        replica_network net(5, seed, {0.0, 0.0, 0.01, 6}, quick_settings());
+        replica_network net(5, seed, {0.0, 0.0, 0.01, 6}, short_lease_settings());
         net.run(seconds(4));
         BOOST_REQUIRE(net.find_leader() != nullptr);
         net.stop(net.find_leader()->self());
@@ -241,11 +241,11 @@
 
 // After a power loss of all replicas, a restarted quorum elects a leader promptly, although each replica
 // first waits until a lease that it may have granted has expired.
-BOOST_AUTO_TEST_CASE(a_quorum_that_comes_back_elects_soon)
+BOOST_AUTO_TEST_CASE(restarted_quorum_elects_leader_promptly)
 {
     for (std::uint64_t seed = 1; seed <= 50; ++seed)
     {
-        replica_network net(5, seed, {0.0, 0.0, 0.01, 6}, quick_settings());
+        replica_network net(5, seed, {0.0, 0.0, 0.01, 6}, short_lease_settings());
         net.run(seconds(4));
         const std::vector<replica_id> ids = net.ids();
         for (const replica_id& id : ids)
@@ -267,12 +267,12 @@
 }
 
 // After a restart of all replicas the last leader campaigns at once, as no other replica can hold a lease.
-BOOST_AUTO_TEST_CASE(the_last_leader_comes_back_at_once)
+BOOST_AUTO_TEST_CASE(last_leader_is_reelected_after_full_restart)
 {
     std::size_t back = 0;
     for (std::uint64_t seed = 1; seed <= 50; ++seed)
     {
-        replica_network net(5, seed, {0.0, 0.0, 0.01, 6}, quick_settings());
+        replica_network net(5, seed, {0.0, 0.0, 0.01, 6}, short_lease_settings());
         net.run(seconds(4));
         const replica_id last = net.find_leader()->self();
         const std::vector<replica_id> ids = net.ids();
@@ -295,11 +295,11 @@
 
 // Replies that take up to 0.4 s, as with disks 30 times slower than usual, extend the lease instead of
 // deposing the leader.
-BOOST_AUTO_TEST_CASE(slow_answers_lengthen_the_lease)
+BOOST_AUTO_TEST_CASE(slow_replies_extend_the_lease)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
     {
-        replica_network net(5, seed, {0.0, 0.0, 0.01, 6}, quick_settings());
+        replica_network net(5, seed, {0.0, 0.0, 0.01, 6}, short_lease_settings());
         net.run(seconds(4));
         net.set_delay(200);
         net.run(seconds(3)); // one or two elections until the lease is long enough
@@ -317,14 +317,14 @@
 
 // One replica loses contact with the leader and campaigns while the others still follow it. Then the leader
 // receives nothing any more and cannot learn of a new leader: nobody else may lead until its lease expires.
-BOOST_AUTO_TEST_CASE(nobody_leads_while_another_holds_the_lease)
+BOOST_AUTO_TEST_CASE(no_other_leader_while_the_lease_is_held)
 {
     for (std::uint64_t seed = 1; seed <= 10; ++seed)
     {
         for (int cut_after = 600; cut_after <= 2400; cut_after += 100)
         {
             replica_network net(3, seed, {0.0, 0.0, 0.04},
-                                seed % 2 == 0 ? quick_settings() : replica_settings{});
+                                seed % 2 == 0 ? short_lease_settings() : replica_settings{});
             net.run(seconds(5));
             const replica_id leader = net.find_leader()->self();
             std::vector<replica_id> rest = net.ids();
@@ -372,7 +372,7 @@
 
 // A snapshot that arrived while the follower was catching up replaced its log, including entries that it had
 // already acknowledged; the leader never resent those.
-BOOST_AUTO_TEST_CASE(a_snapshot_drops_nothing_that_was_answered_for)
+BOOST_AUTO_TEST_CASE(snapshot_keeps_acknowledged_entries)
 {
     const monotonic_time now{seconds(2)};
     replica follower = make_member(member_b);
@@ -389,7 +389,7 @@
     BOOST_TEST(follower.commit_index().value() == 5U);
 }
 
-BOOST_AUTO_TEST_CASE(a_leader_goes_on_while_its_own_disk_stalls)
+BOOST_AUTO_TEST_CASE(leader_commits_while_its_own_disk_stalls)
 {
     monotonic_time now{seconds(1)};
     replica leader = make_member(member_a);
@@ -425,7 +425,7 @@
     BOOST_TEST(!leader.take_unsynced(now).apply.empty());
 }
 
-BOOST_AUTO_TEST_CASE(what_replaces_a_truncated_entry_is_not_counted_as_synced)
+BOOST_AUTO_TEST_CASE(replacement_entries_are_not_counted_as_synced)
 {
     const monotonic_time now{seconds(2)};
     replica follower = make_member(member_b);
@@ -443,7 +443,7 @@
     BOOST_TEST(output.append.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(a_standby_takes_the_place_of_a_voter)
+BOOST_AUTO_TEST_CASE(standby_learner_replaces_voter)
 {
     replica_network net(3, 5, {});
     net.run(seconds(3));
@@ -468,7 +468,7 @@
 
 // A new leader replied to a worker before it had applied the entry that placed the worker's tasks, and
 // ordered the worker to stop them.
-BOOST_AUTO_TEST_CASE(a_leader_does_not_lead_before_its_state_has_what_was_committed)
+BOOST_AUTO_TEST_CASE(leader_waits_until_committed_entries_are_applied)
 {
     const replica_id self{node_id{1}, incarnation_id{1}};
     replica_start disk;
@@ -477,14 +477,14 @@
     disk.entries = {{log_index{1}, term_id{1}, static_cast<std::uint8_t>(entry_kind::command),
                      encode(entry_body{0, "x"})}};
     std::size_t applied = 0;
-    state_hooks hooks;
+    state_machine_hooks hooks;
     hooks.apply = [&applied](wall_ms, const std::string&)
     {
         ++applied;
         return std::string{};
     };
-    replicated_group group(group_id{1},
-                           replica(group_id{1}, self, quick_settings(), disk, 1, monotonic_time{}), hooks);
+    replicated_group group(
+        group_id{1}, replica(group_id{1}, self, short_lease_settings(), disk, 1, monotonic_time{}), hooks);
     monotonic_time now{};
     bool gave_out = false;
     while (now < monotonic_time{} + seconds(5))
--- a/tests/src/unit-scheduler.cpp
+++ b/tests/src/unit-scheduler.cpp
@@ -145,7 +145,7 @@
     for (int i = 0; i < 10; ++i)
     {
         hall.plan();
-        for (const stop_order& order : hall.last().stops)
+        for (const stop_request& order : hall.last().stops)
         {
             hall.report(order.run, run_event::checkpointed);
         }
--- a/tests/src/unit-storage.cpp
+++ b/tests/src/unit-storage.cpp
@@ -17,20 +17,20 @@
 constexpr group_id group{1};
 
 // A temporary folder that is removed when the test ends.
-struct scratch_folder
+struct temporary_folder
 {
-    scratch_folder()
+    temporary_folder()
         : path((std::filesystem::temp_directory_path() / ("walkthread-test-" + std::to_string(::getpid())))
                    .string())
     {
         std::filesystem::remove_all(path);
     }
-    ~scratch_folder()
+    ~temporary_folder()
     {
         std::filesystem::remove_all(path);
     }
-    scratch_folder(const scratch_folder&) = delete;
-    scratch_folder& operator=(const scratch_folder&) = delete;
+    temporary_folder(const temporary_folder&) = delete;
+    temporary_folder& operator=(const temporary_folder&) = delete;
     std::string path;
 };
 
@@ -63,7 +63,7 @@
     BOOST_REQUIRE(ok(folder.sync()));
 }
 
-std::string log_path(const scratch_folder& folder)
+std::string log_path(const temporary_folder& folder)
 {
     return folder.path + "/wal-1";
 }
@@ -82,30 +82,30 @@
 }
 } // namespace
 
-BOOST_AUTO_TEST_CASE(what_was_synced_is_found_again)
+BOOST_AUTO_TEST_CASE(synced_records_survive_reopen)
 {
-    const scratch_folder scratch;
+    const temporary_folder scratch;
     write(*open_valid(scratch.path), entries(1, 5, 2));
-    const replica_start found = open_valid(scratch.path)->start_of(group);
+    const replica_start found = open_valid(scratch.path)->recovered_state(group);
     BOOST_TEST(found.entries.size() == 5U);
     BOOST_TEST(found.state.term.value() == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(a_later_entry_replaces_those_at_its_index_and_after_it)
 {
-    const scratch_folder scratch;
+    const temporary_folder scratch;
     const auto folder = open_valid(scratch.path);
     write(*folder, entries(1, 5, 1));
     write(*folder, entries(3, 3, 2));
-    const replica_start found = open_valid(scratch.path)->start_of(group);
+    const replica_start found = open_valid(scratch.path)->recovered_state(group);
     BOOST_REQUIRE_EQUAL(found.entries.size(), 3U);
     BOOST_TEST(found.entries.back().term.value() == 2U);
 }
 
 // A crash may truncate the last write at any byte; earlier records must remain.
-BOOST_AUTO_TEST_CASE(a_torn_tail_is_cut_at_every_byte)
+BOOST_AUTO_TEST_CASE(torn_tail_is_truncated_at_every_byte)
 {
-    const scratch_folder scratch;
+    const temporary_folder scratch;
     write(*open_valid(scratch.path), entries(1, 2, 1));
     const std::size_t synced = read_all(log_path(scratch)).size();
     write(*open_valid(scratch.path), entries(3, 3, 1));
@@ -113,14 +113,14 @@
     for (std::size_t size = synced; size < whole.size(); ++size)
     {
         write_all(log_path(scratch), whole.substr(0, size));
-        BOOST_REQUIRE_EQUAL(open_valid(scratch.path)->start_of(group).entries.size(), 2U);
+        BOOST_REQUIRE_EQUAL(open_valid(scratch.path)->recovered_state(group).entries.size(), 2U);
         BOOST_REQUIRE_LE(read_all(log_path(scratch)).size(), size);
     }
 }
 
 BOOST_AUTO_TEST_CASE(damage_before_synced_records_is_an_error)
 {
-    const scratch_folder scratch;
+    const temporary_folder scratch;
     write(*open_valid(scratch.path), entries(1, 9, 1));
     std::string bytes = read_all(log_path(scratch));
     bytes[bytes.size() / 2] ^= 0x40;
@@ -132,7 +132,7 @@
 
 BOOST_AUTO_TEST_CASE(a_foreign_folder_and_one_without_identity_are_refused)
 {
-    const scratch_folder scratch;
+    const temporary_folder scratch;
     write(*open_valid(scratch.path), entries(1, 1, 1));
     const auto foreign = data_folder::open(scratch.path, {node_id{2}, incarnation_id{7}, {}});
     BOOST_TEST((error_of(foreign).code == storage_code::foreign_folder));
@@ -143,26 +143,26 @@
 
 BOOST_AUTO_TEST_CASE(an_empty_folder_gets_the_fresh_identity_and_a_used_one_keeps_its_own)
 {
-    const scratch_folder scratch;
+    const temporary_folder scratch;
     open_valid(scratch.path);
     const auto again = data_folder::open(scratch.path, {node_id{1}, incarnation_id{99}, {}});
     BOOST_TEST(value_of(again)->identity().incarnation.value() == 7U);
 }
 
-BOOST_AUTO_TEST_CASE(a_snapshot_takes_the_place_of_entries)
+BOOST_AUTO_TEST_CASE(snapshot_replaces_entries)
 {
-    const scratch_folder scratch;
+    const temporary_folder scratch;
     const auto folder = open_valid(scratch.path);
     write(*folder, entries(1, 10, 1));
     BOOST_REQUIRE(ok(folder->store_snapshot(group, snapshot{log_index{8}, term_id{1}, {}, "state"})));
-    const replica_start found = open_valid(scratch.path)->start_of(group);
+    const replica_start found = open_valid(scratch.path)->recovered_state(group);
     BOOST_TEST(found.base.data == "state");
     BOOST_TEST(found.entries.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(a_rewritten_log_holds_the_same)
+BOOST_AUTO_TEST_CASE(rewritten_log_keeps_its_content)
 {
-    const scratch_folder scratch;
+    const temporary_folder scratch;
     const auto folder = open_valid(scratch.path);
     write(*folder, entries(1, 1000, 1));
     BOOST_REQUIRE(ok(folder->store_snapshot(group, snapshot{log_index{990}, term_id{1}, {}, "state"})));
@@ -172,7 +172,7 @@
     live.entries = entries(991, 1000, 1).append;
     BOOST_REQUIRE(ok(folder->rewrite({{group, live}})));
     write(*folder, entries(1001, 1001, 1));
-    const replica_start found = open_valid(scratch.path)->start_of(group);
+    const replica_start found = open_valid(scratch.path)->recovered_state(group);
     BOOST_TEST(found.base.index.value() == 990U);
     BOOST_TEST(found.entries.size() == 11U);
     BOOST_TEST(!std::filesystem::exists(log_path(scratch)));
@@ -181,7 +181,7 @@
 // A file size limit of the process simulates a full disk.
 BOOST_AUTO_TEST_CASE(a_full_disk_is_an_error)
 {
-    const scratch_folder scratch;
+    const temporary_folder scratch;
     const auto folder = open_valid(scratch.path);
     write(*folder, entries(1, 100, 1));
     std::signal(SIGXFSZ, SIG_IGN);
@@ -194,15 +194,15 @@
     ::setrlimit(RLIMIT_FSIZE, &before);
     BOOST_REQUIRE(!ok(synced));
     BOOST_TEST((error_of(synced).code == storage_code::cannot_write));
-    BOOST_TEST(open_valid(scratch.path)->start_of(group).entries.size() == 100U);
+    BOOST_TEST(open_valid(scratch.path)->recovered_state(group).entries.size() == 100U);
 }
 
 // A leader of 1,100 workers had no file descriptor left for its snapshot and terminated, because every failed
 // open was fatal, although its open log was still writable. A transient lack of resources must be reported as
 // cannot_write, which is retried, and the log must remain usable.
-BOOST_AUTO_TEST_CASE(a_shortage_of_descriptors_refuses_a_snapshot_and_loses_nothing)
+BOOST_AUTO_TEST_CASE(descriptor_exhaustion_fails_snapshot_without_data_loss)
 {
-    const scratch_folder scratch;
+    const temporary_folder scratch;
     {
         const auto folder = open_valid(scratch.path);
         write(*folder, entries(1, 5, 1));
@@ -226,7 +226,7 @@
         BOOST_TEST(ok(synced));
         BOOST_TEST(ok(folder->store_snapshot(group, content)));
     }
-    const replica_start found = open_valid(scratch.path)->start_of(group);
+    const replica_start found = open_valid(scratch.path)->recovered_state(group);
     BOOST_TEST(found.base.index.value() == 5U);
     BOOST_TEST(found.entries.size() == 3U);
 }
--- a/tests/src/unit-wire.cpp
+++ b/tests/src/unit-wire.cpp
@@ -21,7 +21,7 @@
 }
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_variant_comes_back_as_it_was)
+BOOST_AUTO_TEST_CASE(variant_survives_encoding)
 {
     const replica_message sent = append_request{term_id{3}, log_index{7}, term_id{2}, log_index{5}, 99, {}};
     const auto back = decode<replica_message>(encode(sent));
@@ -47,7 +47,7 @@
     BOOST_TEST((error_of(decode<std::vector<int>>(huge)).code == wire_code::malformed));
 }
 
-BOOST_AUTO_TEST_CASE(frames_come_out_whole_however_they_arrive)
+BOOST_AUTO_TEST_CASE(frames_are_reassembled_from_single_bytes)
 {
     const std::string stream = make_frame("one") + make_frame("") + make_frame("three");
     frame_reader reader;
