--- a/bench/bench_decisions.cpp
+++ b/bench/bench_decisions.cpp
@@ -38,7 +38,7 @@
     fill(hall, workers);
     add_waiting(hall, workers * 2);
     std::uint64_t placed = 0;
-    const std::uint64_t hosts = hall.scheduler().hosts_looked_at();
+    const std::uint64_t hosts = hall.scheduler().hosts_examined();
     std::vector<double> rounds;
     for (auto _ : bench)
     {
@@ -62,7 +62,7 @@
         bench.ResumeTiming();
     }
     std::sort(rounds.begin(), rounds.end());
-    const auto looked = static_cast<double>(hall.scheduler().hosts_looked_at() - hosts);
+    const auto looked = static_cast<double>(hall.scheduler().hosts_examined() - hosts);
     bench.SetItemsProcessed(static_cast<std::int64_t>(placed));
     bench.counters["hosts"] = looked / static_cast<double>(std::max<std::uint64_t>(placed, 1));
     bench.counters["plan_p99_ms"] = rounds[rounds.size() * 99 / 100];
--- a/bench/bench_leader.cpp
+++ b/bench/bench_leader.cpp
@@ -266,11 +266,11 @@
     {
         advice_answer answer;
         answer.answered = true;
-        for (const std::string& life : question.lives)
+        for (const std::string& incarnation : question.lives)
         {
-            if (std::hash<std::string>{}(name_of(question.step) + life) % 2 == 0)
+            if (std::hash<std::string>{}(name_of(question.step) + incarnation) % 2 == 0)
             {
-                answer.good.push_back({life, "t"});
+                answer.good.push_back({incarnation, "t"});
             }
         }
         asio::post(m_loop,
@@ -281,7 +281,7 @@
     }
     void prepare()
     {
-        catalogue held;
+        cluster_configuration held;
         held.version = 1;
         held.pools.push_back({"pool", false, false});
         for (const auto& [name, priority] : {std::pair{"urgent", 0}, {"gangs", 1}, {"batch", 2}})
@@ -315,13 +315,13 @@
         for (std::size_t i = 0; i < m_workers; ++i)
         {
             worker_report report;
-            report.facts = {name_of_worker(i),
-                            "h" + std::to_string(i),
-                            address_of_worker(i),
-                            "pool",
-                            "hall",
-                            {"kind", "rack" + std::to_string(i / 12)},
-                            {16000, 65536, 0, 0}};
+            report.description = {name_of_worker(i),
+                                  "h" + std::to_string(i),
+                                  address_of_worker(i),
+                                  "pool",
+                                  "hall",
+                                  {"kind", "rack" + std::to_string(i / 12)},
+                                  {16000, 65536, 0, 0}};
             report.clock_ms = 0;
             report.sequence = 1;
             m_node->call(report_call{report}, seconds(5), [](const service_reply&) {});
--- a/include/walkthread/dispatch/advice_book.hpp
+++ b/include/walkthread/dispatch/advice_book.hpp
@@ -44,7 +44,7 @@
 struct step_advice
 {
     /// A flat map, as it is iterated more often than modified.
-    boost::container::flat_map<worker_life_id, advice_entry> entries;
+    boost::container::flat_map<worker_incarnation_id, advice_entry> entries;
     std::uint32_t open_questions{}; ///< several may be pending, each about other workers
     monotonic_time ask_after{};
     duration last_took{}; ///< duration of the last query, including the wait for a process that sends it
@@ -62,8 +62,8 @@
     void prune(const std::function<bool(const step_ref&)>& keep);
     /// @brief Stores an answer.
     /// @param asked the incarnations of the workers that the query named
-    void take(const step_ref& step, const std::string& queue, const std::vector<worker_life_id>& asked,
-              const std::map<worker_life_id, std::string>& tickets, const advice_times& times,
+    void take(const step_ref& step, const std::string& queue, const std::vector<worker_incarnation_id>& asked,
+              const std::map<worker_incarnation_id, std::string>& tickets, const advice_times& times,
               milliseconds validity);
     /// @brief Records that a worker refused a ticket that was considered valid here: from now on, validity is
     /// counted from the query.
--- a/include/walkthread/dispatch/candidate.hpp
+++ b/include/walkthread/dispatch/candidate.hpp
@@ -34,7 +34,7 @@
     bool lost_before{};                                      ///< a run of it was lost together with its host
     /// Tasks of this step and round that run on a host or are about to; set only if the step limits tasks per
     /// host.
-    std::map<worker_life_id, std::uint32_t> placed;
+    std::map<worker_incarnation_id, std::uint32_t> placed;
     [[nodiscard]] bool missed() const
     {
         return expected_timeliness >= outlook::late;
@@ -46,7 +46,7 @@
     /// Whether its advisor queries are sent before those of other steps.
     [[nodiscard]] bool presses() const
     {
-        return urgent() || step->lasting;
+        return urgent() || step->long_running;
     }
 };
 
@@ -54,11 +54,11 @@
 /// free.
 struct room_hold
 {
-    std::map<worker_life_id, std::uint32_t> tasks; ///< number of tasks on each host
-    std::uint32_t total{};                         ///< the sum of `tasks`
-    resources each{};                              ///< what one task needs
-    bool missed{};                                 ///< the gang was already late when the hold began
-    monotonic_time grew{};                         ///< when `total` last increased
+    std::map<worker_incarnation_id, std::uint32_t> tasks; ///< number of tasks on each host
+    std::uint32_t total{};                                ///< the sum of `tasks`
+    resources each{};                                     ///< what one task needs
+    bool missed{};                                        ///< the gang was already late when the hold began
+    monotonic_time grew{};                                ///< when `total` last increased
     bool gathers = true; ///< true for a gang that gathers capacity, false for hosts held for large tasks
     bool ahead{};        ///< a reservation for all tasks of a gang, including capacity that is not free yet
     bool first{};        ///< a reservation of the gang that has waited longest in its pool
@@ -70,7 +70,7 @@
 /// @brief A worker that may take tasks of a step.
 struct host_offer
 {
-    const worker_life* worker{};
+    const worker_incarnation* worker{};
     resources room{};      ///< currently free
     std::uint32_t slots{}; ///< tasks of the step that fit now
     std::uint32_t whole{}; ///< tasks that would fit on the empty host
@@ -86,7 +86,7 @@
     /// The last label names the rack.
     [[nodiscard]] std::string rack() const
     {
-        return worker->facts.labels.empty() ? std::string{} : worker->facts.labels.back();
+        return worker->description.labels.empty() ? std::string{} : worker->description.labels.back();
     }
 };
 
--- a/include/walkthread/dispatch/dispatcher.hpp
+++ b/include/walkthread/dispatch/dispatcher.hpp
@@ -92,7 +92,7 @@
     {
         return m_unheard_runs;
     }
-    [[nodiscard]] const std::map<worker_life_id, worker_view>& views() const
+    [[nodiscard]] const std::map<worker_incarnation_id, worker_view>& views() const
     {
         return m_views;
     }
@@ -103,7 +103,7 @@
 
     // dispatcher.cpp: the scheduling pass and the order of the candidates
     void sync_views(monotonic_time now);
-    [[nodiscard]] worker_view make_view(const worker_life& worker, monotonic_time now);
+    [[nodiscard]] worker_view make_view(const worker_incarnation& worker, monotonic_time now);
     void tidy(monotonic_time now, wall_ms wall);
     [[nodiscard]] candidate make_candidate(const step_ref& ref) const;
     [[nodiscard]] std::vector<candidate> order_candidates(wall_ms wall, bool all);
@@ -130,9 +130,9 @@
     [[nodiscard]] bool names_known_pool(const worker_report& report) const;
     [[nodiscard]] bool lacks_birth(const worker_report& report) const;
     void take_known_report(worker_view& view, const worker_report& report, monotonic_time now);
-    void record_leaving(const worker_life& known, const worker_report& report,
+    void record_leaving(const worker_incarnation& known, const worker_report& report,
                         const std::function<void(bool)>& done);
-    void ask_who_lives_there(const worker_report& report, worker_life_id present,
+    void ask_who_lives_there(const worker_report& report, worker_incarnation_id present,
                              const std::function<void(bool)>& done);
     void admit(const worker_report& report, const look_answer& answer, const std::function<void(bool)>& done);
 
@@ -142,10 +142,10 @@
     bool place_each(const candidate& item, monotonic_time now);
     void learn_usual_speed();
     [[nodiscard]] bool is_eligible(const candidate& item, const host_row& row) const;
-    [[nodiscard]] std::string_view ticket_for(const candidate& item, worker_life_id worker,
+    [[nodiscard]] std::string_view ticket_for(const candidate& item, worker_incarnation_id worker,
                                               monotonic_time now);
     [[nodiscard]] resources room_for(const candidate& item, const host_row& row, monotonic_time now) const;
-    [[nodiscard]] std::uint32_t slots(const candidate& item, worker_life_id worker,
+    [[nodiscard]] std::uint32_t slots(const candidate& item, worker_incarnation_id worker,
                                       const resources& room) const;
     [[nodiscard]] std::uint32_t waiting_tasks(const candidate& item) const;
     [[nodiscard]] bool has_waiting_tasks(const candidate& item) const;
@@ -159,14 +159,14 @@
                                                                      monotonic_time now) const;
     [[nodiscard]] std::vector<offer> find_offers_to_ask(const candidate& item, std::uint32_t need,
                                                         monotonic_time now);
-    [[nodiscard]] std::map<worker_life_id, std::uint32_t> placed_tasks(const candidate& item) const;
-    [[nodiscard]] std::set<worker_life_id> failed_before(const candidate& item);
+    [[nodiscard]] std::map<worker_incarnation_id, std::uint32_t> placed_tasks(const candidate& item) const;
+    [[nodiscard]] std::set<worker_incarnation_id> failed_before(const candidate& item);
     [[nodiscard]] int doubt_about(const candidate& item, const host_row& row, monotonic_time now) const;
     [[nodiscard]] offer make_offer(const candidate& item, const host_row& row, monotonic_time now);
     [[nodiscard]] std::vector<offer> find_offers(const candidate& item, monotonic_time now);
     [[nodiscard]] std::vector<offer> find_good_offers(const candidate& item, monotonic_time now);
     [[nodiscard]] std::vector<offer> find_open_offers(const candidate& item, monotonic_time now);
-    [[nodiscard]] bool surely_good(const candidate& item, worker_life_id worker);
+    [[nodiscard]] bool surely_good(const candidate& item, worker_incarnation_id worker);
     [[nodiscard]] bool keeps_large_slots(const resources& room, const resources& need) const;
 
     // dispatcher_gangs.cpp: steps whose tasks all start together
@@ -185,8 +185,8 @@
     void review_holds(monotonic_time now);
     bool learn_hosts(const candidate& item, monotonic_time now);
     void ask_for_gang(const candidate& item, monotonic_time now);
-    [[nodiscard]] std::vector<worker_life_id> hosts_without_ticket(const candidate& item,
-                                                                   const room_hold& hold, monotonic_time now);
+    [[nodiscard]] std::vector<worker_incarnation_id>
+    hosts_without_ticket(const candidate& item, const room_hold& hold, monotonic_time now);
     [[nodiscard]] milliseconds question_time(const candidate& item, const room_hold& hold);
 
     // dispatcher_gang_reservations.cpp: reservations for gangs that have waited long
@@ -202,8 +202,8 @@
                                              monotonic_time now);
     void set_reservations(std::map<step_ref, room_hold> next);
     [[nodiscard]] bool has_reservation(const step_ref& ref) const;
-    [[nodiscard]] resources reserved_for_others(const candidate& item, worker_life_id host, bool meantime,
-                                                monotonic_time now) const;
+    [[nodiscard]] resources reserved_for_others(const candidate& item, worker_incarnation_id host,
+                                                bool meantime, monotonic_time now) const;
     void ask_for_reserved(const candidate& item, monotonic_time now);
 
     // dispatcher_reserve.cpp: hosts reserved for large tasks
@@ -211,8 +211,8 @@
     void learn_large_hosts(const candidate& item, monotonic_time now);
     [[nodiscard]] std::size_t reserved_hosts(const candidate& item) const;
     [[nodiscard]] std::size_t most_reserved(const candidate& item);
-    [[nodiscard]] std::vector<worker_life_id> hosts_soon_free(const candidate& item, const room_hold& hold,
-                                                              monotonic_time now);
+    [[nodiscard]] std::vector<worker_incarnation_id>
+    hosts_soon_free(const candidate& item, const room_hold& hold, monotonic_time now);
     [[nodiscard]] std::vector<run_forecast> forecast_runs(const offer& o) const;
     [[nodiscard]] std::optional<double> time_until_room_on(const candidate& item, const offer& o) const;
     [[nodiscard]] std::optional<double> expected_left_ms(const run_ref& run, const run_view& known) const;
@@ -221,10 +221,10 @@
     void ask_advice(const candidate& item, std::uint32_t need, monotonic_time now);
     void keep_tickets(const candidate& item, monotonic_time now);
     [[nodiscard]] bool may_ask(const candidate& item, bool pressing, monotonic_time now);
-    void send_advisor_query(const candidate& item, const std::vector<worker_life_id>& workers, bool pressing,
-                            monotonic_time now);
+    void send_advisor_query(const candidate& item, const std::vector<worker_incarnation_id>& workers,
+                            bool pressing, monotonic_time now);
     void take_advice(const step_ref& ref, const std::string& queue,
-                     const std::vector<worker_life_id>& workers, const advice_answer& answer,
+                     const std::vector<worker_incarnation_id>& workers, const advice_answer& answer,
                      milliseconds validity);
 
     // dispatcher_preempt.cpp: preemption
@@ -246,13 +246,14 @@
     {
         return m_lost_looks > m_settings.looks_lost_often && uses(mechanism::short_looks);
     }
-    void handle_poll_answer(worker_life_id worker, const look_answer& answer, monotonic_time sent,
+    void handle_poll_answer(worker_incarnation_id worker, const look_answer& answer, monotonic_time sent,
                             monotonic_time now);
     void take_restart(worker_view& view, const look_answer& answer, monotonic_time now);
     [[nodiscard]] std::vector<lost_run> lost_at_restart(const worker_view& former, const look_answer& answer,
                                                         monotonic_time now) const;
-    void note_restart(const worker_view& former, birth_ms born, std::string_view from, monotonic_time now);
-    void look_at_new_life(const life_ref& life, monotonic_time now);
+    void note_restart(const worker_view& former, process_start_ms process_start, std::string_view from,
+                      monotonic_time now);
+    void look_at_new_life(const worker_incarnation_ref& incarnation, monotonic_time now);
     void rule_out_late_starts(worker_view& view, monotonic_time now);
     void take_runs(worker_view& view, const look_answer& answer, monotonic_time now);
     void take_ends(worker_view& view, const look_answer& answer, monotonic_time sent, monotonic_time now);
@@ -265,8 +266,8 @@
     [[nodiscard]] static monotonic_time lost_since(const worker_view& view, monotonic_time now);
     [[nodiscard]] std::vector<lost_run> runs_known_on(const worker_view& view, monotonic_time now) const;
     [[nodiscard]] bool may_have_broken_before(const run_ref& run, monotonic_time lost_at,
-                                              worker_life_id lost_with) const;
-    [[nodiscard]] bool outlived(const run_ref& run, worker_life_id worker, monotonic_time then) const;
+                                              worker_incarnation_id lost_with) const;
+    [[nodiscard]] bool outlived(const run_ref& run, worker_incarnation_id worker, monotonic_time then) const;
     [[nodiscard]] std::vector<lost_run> runs_lost_with(const worker_view& view, monotonic_time now) const;
     void keep_last_word(worker_view& view, monotonic_time now);
     void forget_last_word(worker_view& view);
@@ -275,24 +276,24 @@
     void note_verdicts(monotonic_time now);
     void drop_replaced(worker_view& view, monotonic_time now);
     void drop_worker_life(worker_view& view, std::string_view reason, bool for_good, monotonic_time now);
-    void send_start(worker_life_id worker, const run_ref& run, monotonic_time now);
+    void send_start(worker_incarnation_id worker, const run_ref& run, monotonic_time now);
     void note_start(worker_view& view, const run_ref& run, monotonic_time now);
     [[nodiscard]] bool may_still_start(const worker_view& view, const run_ref& run) const;
     void send_recorded(const record_starts& recorded, const std::vector<std::string>& tickets,
                        monotonic_time now);
-    void handle_start_answer(worker_life_id worker, const run_ref& run, const order_answer& answer,
+    void handle_start_answer(worker_incarnation_id worker, const run_ref& run, const order_answer& answer,
                              monotonic_time now);
     void take_unsent_start(worker_view& view, const run_ref& run, order_outcome outcome, monotonic_time now);
     static void note_unsent_call(worker_view& view, order_outcome outcome, monotonic_time now);
     void send_stop(worker_view& view, const run_ref& run, monotonic_time now);
-    void handle_stop_answer(worker_life_id worker, const run_ref& run, const order_answer& answer,
+    void handle_stop_answer(worker_incarnation_id worker, const run_ref& run, const order_answer& answer,
                             monotonic_time now);
     void retry_orders(monotonic_time now);
     void watch_runs(monotonic_time now);
-    void end_run(worker_life_id worker, const run_ref& run, run_end how, monotonic_time now);
+    void end_run(worker_incarnation_id worker, const run_ref& run, run_end how, monotonic_time now);
     void stop_rest_of_gang(const run_ref& run, monotonic_time now);
-    [[nodiscard]] worker_address address_of(worker_life_id worker) const;
-    worker_view* view_of(worker_life_id worker);
+    [[nodiscard]] worker_address address_of(worker_incarnation_id worker) const;
+    worker_view* view_of(worker_incarnation_id worker);
 
     // dispatcher_colocation.cpp: filling tasks on hosts with serving tasks
     void pace_fillers(worker_view& view, const look_answer& answer, monotonic_time now);
@@ -305,10 +306,10 @@
     void advance_waves(monotonic_time now, wall_ms wall);
     [[nodiscard]] bool lost_in_upkeep(const std::string& host, monotonic_time now);
     [[nodiscard]] bool blocks_its_turn(const std::string& host, monotonic_time now);
-    [[nodiscard]] std::set<std::string> choose_hosts(const upkeep_wave& wave, monotonic_time now);
-    void advance_wave(const upkeep_wave& wave, monotonic_time now, wall_ms wall);
-    void await_return(const upkeep_wave& wave, const worker_life& worker, monotonic_time now);
-    bool empty_host(const worker_life& worker, monotonic_time now, bool hurry);
+    [[nodiscard]] std::set<std::string> choose_hosts(const maintenance_wave& wave, monotonic_time now);
+    void advance_wave(const maintenance_wave& wave, monotonic_time now, wall_ms wall);
+    void await_return(const maintenance_wave& wave, const worker_incarnation& worker, monotonic_time now);
+    bool empty_host(const worker_incarnation& worker, monotonic_time now, bool hurry);
 
     const workload_state& m_state;
     dispatch_settings m_settings;
@@ -320,7 +321,7 @@
     std::shared_ptr<bool> m_alive =
         std::make_shared<bool>(true); ///< false after the end of the term; callbacks check it
 
-    std::map<worker_life_id, worker_view> m_views;
+    std::map<worker_incarnation_id, worker_view> m_views;
     std::uint64_t m_synced_version = 0;
     monotonic_time m_tidy_due{};
     monotonic_time m_waiting_due{};                        ///< next log line about the longest waiting step
@@ -328,12 +329,12 @@
     std::size_t m_unheard_runs = 0; ///< runs on workers that have not answered for longer than a lease
     hearing_spell m_hearing;
     monotonic_time m_review_due{};
-    monotonic_time m_full_due{};                  ///< next pass over steps that are not urgent
-    double m_lost_looks = 0.0;                    ///< moving average of the share of polls that got no answer
-    double m_usual_speed = 1.0;                   ///< median speed of the faster half of the hosts
-    bool m_full_wanted = false;                   ///< steps that are not urgent are waiting
-    std::map<task_ref, worker_life_id> m_planned; ///< starts that are being committed
-    std::map<std::string, resources> m_planned_by; ///< resources of these starts by organisation
+    monotonic_time m_full_due{}; ///< next pass over steps that are not urgent
+    double m_lost_looks = 0.0;   ///< moving average of the share of polls that got no answer
+    double m_usual_speed = 1.0;  ///< median speed of the faster half of the hosts
+    bool m_full_wanted = false;  ///< steps that are not urgent are waiting
+    std::map<task_ref, worker_incarnation_id> m_planned; ///< starts that are being committed
+    std::map<std::string, resources> m_planned_by;       ///< resources of these starts by organisation
     unconfirmed_work m_unconfirmed;
     advice_book m_advice;
     objective_book m_objectives;
@@ -343,9 +344,9 @@
     std::map<step_ref, monotonic_time> m_gang_since; ///< waiting gangs, and since when they wait
     monotonic_time m_gang_review_due{};
     std::set<step_ref> m_seeks_hosts; ///< overdue gangs with too few approved hosts
-    std::map<worker_life_id, std::vector<step_ref>> m_reserved_on; ///< gangs with a reservation there
-    std::map<step_ref, monotonic_time> m_preempted;                ///< last preemption for a step
-    resources m_large_task{};                                      ///< typical size of a gang's task
+    std::map<worker_incarnation_id, std::vector<step_ref>> m_reserved_on; ///< gangs with a reservation there
+    std::map<step_ref, monotonic_time> m_preempted;                       ///< last preemption for a step
+    resources m_large_task{};                                             ///< typical size of a gang's task
     std::set<std::string> m_joining; ///< hosts whose incarnations are being admitted
     std::set<std::string> m_upkeep_in_flight;
     std::map<std::string, monotonic_time> m_upkeep_retry;
--- a/include/walkthread/dispatch/gang_reservations.hpp
+++ b/include/walkthread/dispatch/gang_reservations.hpp
@@ -38,7 +38,7 @@
 /// @brief When a host has capacity for one, two, ... tasks of a gang.
 struct host_outlook
 {
-    worker_life_id worker{};
+    worker_incarnation_id worker{};
     std::vector<double> ready_ms; ///< from now, ascending
     bool kept{};                  ///< already reserved for the gang
 };
@@ -46,7 +46,7 @@
 /// @brief Hosts that together take all tasks of a gang.
 struct gang_reservation
 {
-    std::map<worker_life_id, std::uint32_t> tasks;
+    std::map<worker_incarnation_id, std::uint32_t> tasks;
     double ready_ms{}; ///< time from now until all of the capacity is free
 };
 
--- a/include/walkthread/dispatch/host_reason.hpp
+++ b/include/walkthread/dispatch/host_reason.hpp
@@ -34,7 +34,7 @@
 
 /// @brief Whether a worker may get new work, or why not. Complexity: constant.
 /// @param closed whether its host is being drained
-[[nodiscard]] host_reason availability_of(const worker_view& view, const worker_life& worker, bool closed,
-                                          monotonic_time now, const dispatch_settings& settings);
+[[nodiscard]] host_reason availability_of(const worker_view& view, const worker_incarnation& worker,
+                                          bool closed, monotonic_time now, const dispatch_settings& settings);
 
 } // namespace walkthread
--- a/include/walkthread/dispatch/host_table.hpp
+++ b/include/walkthread/dispatch/host_table.hpp
@@ -27,7 +27,7 @@
 /// @brief A worker during one pass.
 struct host_row
 {
-    const worker_life* worker{};
+    const worker_incarnation* worker{};
     const worker_view* view{};
     pool_number pool{};
     resources open{};      ///< not occupied by runs
@@ -44,7 +44,7 @@
   public:
     /// @param views what the leader knows of each worker; has an entry for each worker of the state
     /// @param closed hosts that are being drained
-    host_table(const workload_state& state, const std::map<worker_life_id, worker_view>& views,
+    host_table(const workload_state& state, const std::map<worker_incarnation_id, worker_view>& views,
                const dispatch_settings& settings, const std::set<std::string>& closed)
         : m_state(state), m_views(views), m_settings(settings), m_closed(closed)
     {
@@ -59,35 +59,35 @@
     /// @brief A host by index, in the order of worker ids.
     [[nodiscard]] const host_row& at(std::size_t place);
     /// @brief A worker's row, or null. Complexity: constant.
-    [[nodiscard]] const host_row* find(worker_life_id worker);
+    [[nodiscard]] const host_row* find(worker_incarnation_id worker);
     /// @brief The number of a pool by name; 0 if no host is in it.
     [[nodiscard]] pool_number number_of(const std::string& pool) const;
     /// @brief Number of usable hosts in a pool, counted once per pass.
     [[nodiscard]] std::size_t usable_in(pool_number pool);
 
     /// @brief Total capacity of all hosts of a pool, usable or not.
-    [[nodiscard]] resources room_of(pool_number pool) const;
+    [[nodiscard]] resources host_demand_of(pool_number pool) const;
 
     /// @brief Marks a host's row as outdated.
-    void invalidate(worker_life_id worker);
+    void invalidate(worker_incarnation_id worker);
     /// @brief Holds capacity on a host; `release` frees it.
-    void hold(worker_life_id worker, const resources& room);
-    void release(worker_life_id worker, const resources& room);
+    void hold(worker_incarnation_id worker, const resources& room);
+    void release(worker_incarnation_id worker, const resources& room);
 
   private:
     void rebuild();
     void work_out(host_row& row) const;
 
     const workload_state& m_state;
-    const std::map<worker_life_id, worker_view>& m_views;
+    const std::map<worker_incarnation_id, worker_view>& m_views;
     const dispatch_settings& m_settings;
     const std::set<std::string>& m_closed;
     std::vector<host_row> m_rows;
-    std::unordered_map<worker_life_id, std::size_t> m_places;
+    std::unordered_map<worker_incarnation_id, std::size_t> m_places;
     std::map<std::string, pool_number> m_pools;
     std::map<pool_number, std::size_t> m_usable; ///< in the current pass
     std::map<pool_number, resources> m_rooms;
-    std::unordered_map<worker_life_id, resources> m_held;
+    std::unordered_map<worker_incarnation_id, resources> m_held;
     std::uint64_t m_version = 0; ///< of the state's workers when the rows were built
     std::uint64_t m_pass = 0;
     monotonic_time m_now{};
--- a/include/walkthread/dispatch/orders.hpp
+++ b/include/walkthread/dispatch/orders.hpp
@@ -43,11 +43,11 @@
 /// @brief The destination of an order and the authority under which it is sent.
 struct worker_address
 {
-    worker_life_id worker{};
-    std::string id;        ///< chosen by the worker; its next incarnation may use the same
-    birth_ms born{};       ///< start time of the addressed incarnation
-    std::string address;   ///< IP address and port
-    std::uint64_t fence{}; ///< fencing token: the leader's term; workers refuse lower ones
+    worker_incarnation_id worker{};
+    std::string id;                   ///< chosen by the worker; its next incarnation may use the same
+    process_start_ms process_start{}; ///< start time of the addressed incarnation
+    std::string address;              ///< IP address and port
+    std::uint64_t fence{};            ///< fencing token: the leader's term; workers refuse lower ones
 };
 
 /// @brief Starts one run.
@@ -121,7 +121,7 @@
 struct look_answer
 {
     order_outcome outcome{};
-    birth_ms born{}; ///< start time of the incarnation that answered
+    process_start_ms process_start{}; ///< start time of the incarnation that answered
     std::int64_t clock_ms{};
     std::vector<listed_run> running;
     std::vector<listed_end> ended;
@@ -138,9 +138,9 @@
 /// @brief A worker that may run the step, with the ticket that proves it.
 struct advice_grant
 {
-    std::string life;
+    std::string incarnation;
     std::string ticket;
-    MSGPACK_DEFINE(life, ticket)
+    MSGPACK_DEFINE(incarnation, ticket)
 };
 
 /// @brief The advisor's answer.
@@ -157,12 +157,12 @@
 /// @brief A worker's periodic report of itself.
 struct worker_report
 {
-    worker_facts facts;
+    worker_description description;
     bool draining{};
     std::int64_t remaining_ms{}; ///< while draining: minimum time until it leaves
     std::int64_t clock_ms{};
     std::uint64_t sequence{};
-    MSGPACK_DEFINE(facts, draining, remaining_ms, clock_ms, sequence)
+    MSGPACK_DEFINE(description, draining, remaining_ms, clock_ms, sequence)
 };
 
 /// @brief Interface of the dispatcher to its environment. Each call returns at once; answers arrive later.
@@ -184,7 +184,7 @@
     /// Orders maintenance of a host from the platform.
     std::function<void(const std::string& host, std::uint64_t wave, std::uint64_t fence,
                        std::function<void(const order_answer&)>)>
-        order_upkeep;
+        order_maintenance;
     /// Called for each step of which tasks were placed, with its waiting time since it became ready. May be
     /// null.
     std::function<void(const std::string& queue, duration waited)> planned;
--- a/include/walkthread/dispatch/room_news.hpp
+++ b/include/walkthread/dispatch/room_news.hpp
@@ -27,7 +27,7 @@
     }
 
     /// @brief Records that capacity was freed on a host. Complexity: amortized constant.
-    void note(worker_life_id host)
+    void note(worker_incarnation_id host)
     {
         if (m_hosts.size() >= 2 * m_kept)
         {
@@ -44,14 +44,14 @@
     }
     /// @brief Hosts recorded since a position, without duplicates, in the order of their ids; no value if
     /// some of the entries have been discarded.
-    [[nodiscard]] std::optional<std::vector<worker_life_id>> since(std::uint64_t position) const
+    [[nodiscard]] std::optional<std::vector<worker_incarnation_id>> since(std::uint64_t position) const
     {
         if (position < m_first)
         {
             return std::nullopt;
         }
-        std::vector<worker_life_id> out(m_hosts.begin() + static_cast<std::ptrdiff_t>(position - m_first),
-                                        m_hosts.end());
+        std::vector<worker_incarnation_id> out(
+            m_hosts.begin() + static_cast<std::ptrdiff_t>(position - m_first), m_hosts.end());
         std::sort(out.begin(), out.end());
         out.erase(std::unique(out.begin(), out.end()), out.end());
         return out;
@@ -60,7 +60,7 @@
   private:
     std::size_t m_kept;
     std::uint64_t m_first = 0; ///< position of the oldest entry
-    std::vector<worker_life_id> m_hosts;
+    std::vector<worker_incarnation_id> m_hosts;
 };
 
 } // namespace walkthread
--- a/include/walkthread/dispatch/suspect_watch.hpp
+++ b/include/walkthread/dispatch/suspect_watch.hpp
@@ -25,7 +25,7 @@
   public:
     /// @param watch_period how long a host is watched after the start of a suspect; a suspect that has not
     /// crashed its host by then is treated like other work
-    suspect_watch(const crash_ledger& crashes, duration watch_period)
+    suspect_watch(const crash_evidence_table& crashes, duration watch_period)
         : m_crashes(crashes), m_lasts(watch_period)
     {
     }
@@ -37,7 +37,7 @@
     /// the suspects.
     void find_isolated(const workload_state& state);
     /// @brief Records that a suspect is about to be started on a host.
-    void note_start(worker_life_id worker, submission_id owner, monotonic_time now);
+    void note_start(worker_incarnation_id worker, submission_id owner, monotonic_time now);
     /// @brief Records that a run of the task was lost with its host.
     void note_loss(const task_ref& task, monotonic_time now);
     /// @brief Whether a task is in back-off until it is known whether its last hosts crashed or were
@@ -46,7 +46,7 @@
     [[nodiscard]] bool in_backoff(const task_ref& task, monotonic_time now) const;
     /// @brief Whether a suspect of another submission than `owner` was started on the host recently, or runs
     /// there alone.
-    [[nodiscard]] bool watches(worker_life_id worker, submission_id owner, monotonic_time now) const;
+    [[nodiscard]] bool watches(worker_incarnation_id worker, submission_id owner, monotonic_time now) const;
 
   private:
     struct watch
@@ -55,10 +55,11 @@
         monotonic_time until{};
     };
 
-    const crash_ledger& m_crashes;
+    const crash_evidence_table& m_crashes;
     duration m_lasts;
-    std::map<worker_life_id, watch> m_watches;
-    std::map<worker_life_id, submission_id> m_isolated; ///< the id is 0 if there are several submissions
+    std::map<worker_incarnation_id, watch> m_watches;
+    std::map<worker_incarnation_id, submission_id>
+        m_isolated; ///< the id is 0 if there are several submissions
     std::map<task_ref, monotonic_time> m_last_loss;
     monotonic_time m_pruned{}; ///< when old entries of `m_last_loss` were last removed
 };
--- a/include/walkthread/dispatch/worker_view.hpp
+++ b/include/walkthread/dispatch/worker_view.hpp
@@ -141,7 +141,7 @@
 /// @since 0.2
 struct worker_view
 {
-    worker_life_id id{};
+    worker_incarnation_id id{};
     bool answered{};                ///< it has answered with this leader's fencing token
     worker_contact contact;         ///< whether it can be reached
     monotonic_time answered_look{}; ///< send time of the newest poll that was answered
--- a/include/walkthread/fabric/core_node.hpp
+++ b/include/walkthread/fabric/core_node.hpp
@@ -115,7 +115,8 @@
     void handle(const wave_state_call& call, const call_handler& handler);
     void handle(const advise_call& call, const call_handler& handler);
     void handle(const explain_call& call, const call_handler& handler);
-    [[nodiscard]] std::string report_address_of_another(const std::string& life, monotonic_time now) const;
+    [[nodiscard]] std::string report_address_of_another(const std::string& incarnation,
+                                                        monotonic_time now) const;
     [[nodiscard]] std::optional<service_reply> refuse_access(const access_decision& caller,
                                                              std::string_view call);
 
--- a/include/walkthread/fabric/fabric_node.hpp
+++ b/include/walkthread/fabric/fabric_node.hpp
@@ -48,7 +48,7 @@
     std::function<void(const pace_task_order&, std::function<void(const order_answer&)>)> pace;
     std::function<void(const std::string& host, std::uint64_t wave, std::uint64_t fence,
                        std::function<void(const order_answer&)>)>
-        order_upkeep;
+        order_maintenance;
     std::function<void(const advice_question&, std::function<void(const advice_answer&)>)> ask_advisor;
 };
 
--- a/include/walkthread/fabric/messages.hpp
+++ b/include/walkthread/fabric/messages.hpp
@@ -63,7 +63,7 @@
 /// @brief An operator replaces the cluster configuration.
 struct put_catalogue_call
 {
-    catalogue next;
+    cluster_configuration next;
     MSGPACK_DEFINE(next)
 };
 
@@ -84,8 +84,8 @@
 /// @brief A worker announces that it shuts down.
 struct leave_call
 {
-    std::string life;
-    MSGPACK_DEFINE(life)
+    std::string incarnation;
+    MSGPACK_DEFINE(incarnation)
 };
 
 /// @brief An operator starts a maintenance wave.
--- a/include/walkthread/node/hall_service.hpp
+++ b/include/walkthread/node/hall_service.hpp
@@ -47,7 +47,7 @@
         term_id term{};
         scheduler planner;
         lease_table leases;
-        usage_guard usage;
+        usage_monitor usage;
         bool plan_in_flight = false;
         bool reconcile_in_flight = false;
         bool root_changed = true;
--- a/include/walkthread/policy/host_pool.hpp
+++ b/include/walkthread/policy/host_pool.hpp
@@ -43,7 +43,7 @@
     /// @brief Takes resources of a host for the current plan. Complexity: logarithmic.
     void take(host_slot slot, const resources& amount);
     /// @brief Releases resources taken by `take`.
-    void give_back(host_slot slot, const resources& amount);
+    void release(host_slot slot, const resources& amount);
     /// @brief Excludes a host from the index, or includes it again. Complexity: logarithmic.
     void set_aside(host_slot slot, bool reserved);
 
@@ -76,14 +76,14 @@
         return m_racks[position];
     }
     /// @brief Number of hosts examined since the pool was created, over all decisions.
-    [[nodiscard]] std::uint64_t looked_at() const
+    [[nodiscard]] std::uint64_t examined() const
     {
-        return m_looked_at;
+        return m_examined;
     }
     /// @brief Adds hosts that a caller examined without a search of the pool.
-    void count_looks(std::uint64_t hosts)
+    void count_examined(std::uint64_t hosts)
     {
-        m_looked_at += hosts;
+        m_examined += hosts;
     }
 
   private:
@@ -117,8 +117,9 @@
     std::unordered_map<rack_id, std::size_t> m_rack_position;
     std::vector<std::vector<host_slot>> m_racks;
     std::array<std::array<bucket, cpu_levels>, accelerator_levels> m_buckets;
-    std::array<std::uint64_t, accelerator_levels> m_filled{}; ///< bit set of the cpu levels that have hosts
-    std::uint64_t m_looked_at = 0;
+    std::array<std::uint64_t, accelerator_levels>
+        m_nonempty_levels{}; ///< bit set of the cpu levels that have hosts
+    std::uint64_t m_examined = 0;
 };
 
 } // namespace walkthread
--- a/include/walkthread/policy/lease_table.hpp
+++ b/include/walkthread/policy/lease_table.hpp
@@ -40,9 +40,9 @@
     void forget(worker_id worker);
 
   private:
-    duration m_surely_over;
+    duration m_expiry_delay;
     std::unordered_map<worker_id, monotonic_time> m_granted_at;
-    std::set<worker_id> m_losing;
+    std::set<worker_id> m_expired;
 };
 
 } // namespace walkthread
--- a/include/walkthread/policy/scheduler.hpp
+++ b/include/walkthread/policy/scheduler.hpp
@@ -69,7 +69,7 @@
 {
     std::uint64_t placements = 0;
     std::uint64_t preemptions = 0;
-    std::uint64_t jobs_looked_at = 0;
+    std::uint64_t jobs_examined = 0;
     std::uint64_t plans = 0;
 };
 
@@ -104,9 +104,9 @@
     {
         return m_counters;
     }
-    [[nodiscard]] std::uint64_t hosts_looked_at() const
+    [[nodiscard]] std::uint64_t hosts_examined() const
     {
-        return m_pool.looked_at();
+        return m_pool.examined();
     }
     /// @brief Whether a task of this size fits within the largest host size in each dimension.
     [[nodiscard]] bool could_ever_run(const resources& size) const;
@@ -150,9 +150,9 @@
         std::map<rack_id, std::uint32_t> racks;
         std::map<host_slot, std::uint32_t> hosts;
     };
-    [[nodiscard]] std::vector<host_slot> shun_failed_hosts(const hall_job& job);
-    wait_reason place_somehow(const hall_job& job, plan_state& p);
-    wait_reason place_singles(const hall_job& job, plan_state& p);
+    [[nodiscard]] std::vector<host_slot> exclude_failed_hosts(const hall_job& job);
+    wait_reason place_job(const hall_job& job, plan_state& p);
+    wait_reason place_independent_tasks(const hall_job& job, plan_state& p);
     wait_reason place_gang(const hall_job& job, plan_state& p);
     [[nodiscard]] std::optional<host_slot> choose_batch(const hall_job& job, const plan_state& p);
     [[nodiscard]] std::optional<host_slot> choose_spread(const hall_job& job, spread_counts& used);
@@ -161,8 +161,8 @@
     void commit(const hall_job& job, std::uint32_t index, host_slot slot, plan_state& p);
     void reserve_for(const hall_job& job, const plan_state& p);
     void drop_reservation();
-    [[nodiscard]] std::vector<wall_ms> room_times(host_slot slot, const resources& need,
-                                                  const plan_state& p) const;
+    [[nodiscard]] std::vector<wall_ms> expected_fit_times(host_slot slot, const resources& need,
+                                                          const plan_state& p) const;
     [[nodiscard]] wall_ms predicted_end(const task_id& id, const plan_state& p) const;
     [[nodiscard]] std::optional<std::uint32_t> next_pending(const hall_job& job, plan_state& p) const;
     [[nodiscard]] std::int64_t predicted_ms(const job_spec& spec, const hall_state& state) const;
@@ -174,7 +174,7 @@
         resources freed{};
         std::int64_t lost_work{}; ///< milliseconds times millicores
     };
-    struct preemption_try
+    struct preemption_attempt
     {
         wall_ms next_try{};
         bool found{};
@@ -184,7 +184,7 @@
     [[nodiscard]] std::optional<victim_set> victims_on(host_slot slot, const hall_job& job,
                                                        const plan_state& p) const;
     [[nodiscard]] bool may_preempt(const hall_job& job, const plan_state& p) const;
-    [[nodiscard]] bool is_victim(const hall_job& loser, const task_record& task, const hall_job& job,
+    [[nodiscard]] bool is_victim(const hall_job& victim, const task_record& task, const hall_job& job,
                                  const plan_state& p, const resources& already) const;
 
     [[nodiscard]] double weight_of(organisation_id organisation) const;
@@ -216,7 +216,7 @@
     blocked_sizes m_reserved_blocked; ///< among the hosts reserved for a gang
     wall_ms m_next_reclaim = 0; ///< earliest time of the next search for tasks to stop to reclaim a share
     std::optional<reservation> m_reservation;
-    std::unordered_map<job_id, preemption_try> m_preempting;
+    std::unordered_map<job_id, preemption_attempt> m_preempting;
     std::size_t m_rack_cursor = 0;
     resources m_largest{};
     scheduler_counters m_counters;
--- a/include/walkthread/policy/usage_guard.hpp
+++ b/include/walkthread/policy/usage_guard.hpp
@@ -15,7 +15,7 @@
 {
 
 /// @brief Action to take on a run.
-enum class usage_verdict : std::uint8_t
+enum class usage_action : std::uint8_t
 {
     none = 0,
     throttle = 1,
@@ -24,7 +24,7 @@
 
 /// @brief Tracks the usage reports of one hall's runs.
 /// @since 0.1
-class usage_guard
+class usage_monitor
 {
   public:
     /// @brief Tolerated excess as a part of the declared size, since reports are delayed and noisy.
@@ -36,8 +36,8 @@
     static constexpr duration stop_after = seconds(30);
 
     /// @brief Evaluates one usage report. Complexity: constant.
-    [[nodiscard]] usage_verdict evaluate(const run_id& run, const resources& declared, std::int64_t cpu,
-                                         std::int64_t memory, monotonic_time now);
+    [[nodiscard]] usage_action evaluate(const run_id& run, const resources& declared, std::int64_t cpu,
+                                        std::int64_t memory, monotonic_time now);
     /// @brief Drops the history of a task, once its run has ended.
     void forget(const task_id& task);
 
--- a/include/walkthread/workload/catalogue.hpp
+++ b/include/walkthread/workload/catalogue.hpp
@@ -19,12 +19,12 @@
 
 /// @brief Cost of querying a queue's placement advisor and validity of its advice. See
 /// `dispatch/advice_cache.hpp`.
-struct advice_terms
+struct advice_settings
 {
     double decision_ms{};       ///< fixed time for one question
     double each_ms{};           ///< additional time for each worker in the question
     std::int64_t validity_ms{}; ///< how long the tickets of an answer are valid
-    friend bool operator==(const advice_terms&, const advice_terms&) = default;
+    friend bool operator==(const advice_settings&, const advice_settings&) = default;
     MSGPACK_DEFINE(decision_ms, each_ms, validity_ms)
 };
 
@@ -41,7 +41,7 @@
     std::string pool;
     std::uint32_t max_attempts{1};
     bool advised{};
-    advice_terms advice{};
+    advice_settings advice{};
     bool open{}; ///< callers need no API key
     MSGPACK_DEFINE(name, host, path_prefix, timeout_ms, target_latency_ms, stretch, priority, pool,
                    max_attempts, advised, advice, open)
@@ -58,7 +58,7 @@
 
 /// @brief One complete version of the configuration.
 /// @since 0.2
-struct catalogue
+struct cluster_configuration
 {
     std::uint64_t version{};
     std::vector<queue_spec> queues;
@@ -66,20 +66,20 @@
     std::int64_t max_body_bytes{};
     std::string source; ///< the operator's document, returned verbatim
     std::vector<organisation_spec> organisations;
-    bool guarded{}; ///< callers need an organisation's API key, except on open queues
-    MSGPACK_DEFINE(version, queues, pools, max_body_bytes, source, organisations, guarded)
+    bool keys_required{}; ///< callers need an organisation's API key, except on open queues
+    MSGPACK_DEFINE(version, queues, pools, max_body_bytes, source, organisations, keys_required)
 };
 
 /// @brief Describes the first error in a configuration; no value if it is valid.
 /// Complexity: n log n in the queues.
-[[nodiscard]] std::optional<std::string> find_fault(const catalogue& candidate);
+[[nodiscard]] std::optional<std::string> find_fault(const cluster_configuration& candidate);
 
 /// @brief The queue with this host and the longest matching path prefix; null if none matches.
 /// Complexity: linear in the queues.
-[[nodiscard]] const queue_spec* find_queue(const catalogue& held, std::string_view host,
+[[nodiscard]] const queue_spec* find_queue(const cluster_configuration& held, std::string_view host,
                                            std::string_view path);
 
 /// @brief The queue with this name; null if there is none.
-[[nodiscard]] const queue_spec* find_queue_by_name(const catalogue& held, std::string_view name);
+[[nodiscard]] const queue_spec* find_queue_by_name(const cluster_configuration& held, std::string_view name);
 
 } // namespace walkthread
--- a/include/walkthread/workload/commands.hpp
+++ b/include/walkthread/workload/commands.hpp
@@ -24,25 +24,25 @@
     unknown_queue = 420,      ///< no queue matches this host and path
     unknown_submission = 421, ///< the queue has no submission with this id
     bad_submission = 422,     ///< a field is out of range, or a dependency is not an earlier step
-    bad_catalogue = 423,      ///< the configuration is malformed or inconsistent
+    bad_configuration = 423,  ///< the configuration is malformed or inconsistent
     too_many = 424,           ///< the limit of unfinished submissions is reached
     id_in_use = 425,          ///< a submission of another queue or organisation has this id
     bad_wave = 426,           ///< a maintenance wave names no host or no limit
-    former_worker = 427,      ///< this incarnation of the worker has ended; a late report has no effect
+    former_incarnation = 427, ///< this incarnation of the worker has ended; a late report has no effect
     no_key = 428,             ///< the queue requires an API key
     unknown_key = 429,        ///< the API key belongs to no organisation
 };
 using workload_error = layer_error<workload_code>;
 
 /// @brief Replaces the configuration if the version is higher than the current one.
-struct replace_catalogue
+struct replace_cluster_configuration
 {
-    catalogue next;
+    cluster_configuration next;
     MSGPACK_DEFINE(next)
 };
 
 /// @brief Accepts a submission. Idempotent: repeating an id has no effect.
-struct keep_submission
+struct accept_submission
 {
     submission_id id{};
     std::string queue;
@@ -61,7 +61,7 @@
 
 /// @brief What a worker reports about itself and its host.
 /// @since 0.2
-struct worker_facts
+struct worker_description
 {
     std::string id;      ///< chosen by the worker; a later incarnation may reuse it
     std::string host;    ///< host name
@@ -70,13 +70,13 @@
     std::string hall;
     std::vector<std::string> labels;
     resources size{};
-    birth_ms born{};
-    friend bool operator==(const worker_facts&, const worker_facts&) = default;
-    MSGPACK_DEFINE(id, host, address, pool, hall, labels, size, born)
+    process_start_ms process_start{};
+    friend bool operator==(const worker_description&, const worker_description&) = default;
+    MSGPACK_DEFINE(id, host, address, pool, hall, labels, size, process_start)
 
-    [[nodiscard]] life_ref life() const
+    [[nodiscard]] worker_incarnation_ref incarnation() const
     {
-        return {id, born};
+        return {id, process_start};
     }
 };
 
@@ -89,18 +89,18 @@
 /// to the new incarnation and count as active there until it is known that they do not exist.
 struct admit_worker
 {
-    worker_facts facts;
+    worker_description description;
     std::uint64_t sequence{}; ///< report number
     /// The description is that of the former incarnation: the new one answers, but has not reported yet.
     bool assumed{};
     std::vector<lost_run> lost{}; ///< runs that ended with the former incarnation of the same id
-    MSGPACK_DEFINE(facts, sequence, assumed, lost)
+    MSGPACK_DEFINE(description, sequence, assumed, lost)
 };
 
 /// @brief Removes an incarnation of a worker: it left, or its lease has expired. Its runs end as lapsed.
 struct drop_worker
 {
-    worker_life_id worker{};
+    worker_incarnation_id worker{};
     /// It has ended. Otherwise it may report again and is then added under a new number.
     bool for_good{};
     std::vector<lost_run> lost{}; ///< its runs; no crash evidence if it had announced that it leaves
@@ -111,7 +111,7 @@
 /// sequence number takes effect.
 struct mark_leaving
 {
-    worker_life_id worker{};
+    worker_incarnation_id worker{};
     std::uint64_t sequence{}; ///< report number
     bool leaving{};
     MSGPACK_DEFINE(worker, sequence, leaving)
@@ -119,9 +119,9 @@
 
 /// @brief Stores the last known state of a worker's runs when it stops answering; empty once it answers
 /// again. A new leader could not tell otherwise which runs had started there, and when.
-struct note_last_word
+struct record_last_known_runs
 {
-    worker_life_id worker{};
+    worker_incarnation_id worker{};
     std::vector<lost_run> runs;
     MSGPACK_DEFINE(worker, runs)
 };
@@ -131,7 +131,7 @@
 {
     task_ref task{};
     std::uint32_t run{};
-    worker_life_id worker{};
+    worker_incarnation_id worker{};
     MSGPACK_DEFINE(task, run, worker)
 };
 
@@ -154,11 +154,11 @@
 /// @brief Ends of runs on one worker.
 struct record_ends
 {
-    worker_life_id worker{};
+    worker_incarnation_id worker{};
     /// Highest sequence number of the ends that the worker listed; 0 for ends that it did not list itself.
-    std::uint64_t listed_up_to{};
+    std::uint64_t ends_recorded_up_to{};
     std::vector<observed_end> ends;
-    MSGPACK_DEFINE(worker, listed_up_to, ends)
+    MSGPACK_DEFINE(worker, ends_recorded_up_to, ends)
 };
 
 /// @brief Removes final submissions.
@@ -179,7 +179,7 @@
 };
 
 /// @brief Progress of a host in a maintenance wave.
-enum class upkeep_phase : std::uint8_t
+enum class maintenance_phase : std::uint8_t
 {
     waiting,
     ordered,   ///< the order may have been sent
@@ -188,7 +188,7 @@
 };
 
 /// @brief Advances a host of a maintenance wave to a phase. Phases never go back.
-struct advance_upkeep
+struct advance_maintenance
 {
     std::uint64_t wave{};
     std::string host;
@@ -196,9 +196,10 @@
     MSGPACK_DEFINE(wave, host, phase)
 };
 
-using workload_command = std::variant<replace_catalogue, keep_submission, cancel_submission, admit_worker,
-                                      drop_worker, record_starts, record_ends, forget_submissions, begin_wave,
-                                      advance_upkeep, mark_leaving, note_last_word>;
+using workload_command =
+    std::variant<replace_cluster_configuration, accept_submission, cancel_submission, admit_worker,
+                 drop_worker, record_starts, record_ends, forget_submissions, begin_wave, advance_maintenance,
+                 mark_leaving, record_last_known_runs>;
 
 /// @brief Result of applying a command: 0 for success, or a workload_code.
 struct workload_result
--- a/include/walkthread/workload/organisation.hpp
+++ b/include/walkthread/workload/organisation.hpp
@@ -32,9 +32,9 @@
 };
 
 /// @brief Maximum length of a key in bytes; bounded because callers send it with each call.
-inline constexpr std::size_t longest_key = 512;
+inline constexpr std::size_t max_key_bytes = 512;
 /// @brief Maximum weight, in submissions per second: far above the capacity of the whole system.
-inline constexpr double largest_weight = 1e9;
+inline constexpr double max_weight = 1e9;
 
 /// @brief Describes the first error in the organisations of a configuration; no value if they are valid. The
 /// text names the organisation and the position of a key but never contains a key. Complexity: linear in the
@@ -42,41 +42,41 @@
 [[nodiscard]] std::optional<std::string> find_fault(const std::vector<organisation_spec>& organisations);
 
 /// @brief Compares two secrets in a time that depends only on their lengths.
-[[nodiscard]] bool same_secret(std::string_view a, std::string_view b);
+[[nodiscard]] bool equal_in_constant_time(std::string_view a, std::string_view b);
 
 /// @brief Maps API keys to organisations.
 /// @since 0.6
-class key_ring
+class api_key_index
 {
   public:
-    key_ring() = default;
-    explicit key_ring(const std::vector<organisation_spec>& organisations);
+    api_key_index() = default;
+    explicit api_key_index(const std::vector<organisation_spec>& organisations);
 
     /// @brief The name of the organisation with this key; null if there is none. Complexity: constant on
     /// average.
     [[nodiscard]] const std::string* find(std::string_view key) const;
 
   private:
-    struct held_key
+    struct indexed_key
     {
         std::string key;
         std::string organisation;
     };
-    std::unordered_multimap<std::size_t, held_key> m_by_hash;
+    std::unordered_multimap<std::size_t, indexed_key> m_by_hash;
 };
 
 /// @brief How many more tasks of a given size fit within a limit. Complexity: constant.
 /// @param used resources in use
 /// @param each size of one task
-[[nodiscard]] std::uint32_t places_within(const resources& limit, const resources& used,
-                                          const resources& each);
+[[nodiscard]] std::uint32_t tasks_within_limit(const resources& limit, const resources& used,
+                                               const resources& each);
 
 /// @brief Resource usage of each organisation and its limit.
 ///
 /// Counts every run that may exist: from when its start is recorded, before the order is sent, until its end
 /// is recorded.
 /// @since 0.6
-class quota_book
+class quota_usage
 {
   public:
     /// @brief Sets the limits from a configuration. An organisation that was removed from it keeps its last
@@ -88,7 +88,7 @@
         m_used.clear();
     }
     void take(const std::string& organisation, const resources& room);
-    void give_back(const std::string& organisation, const resources& room);
+    void release(const std::string& organisation, const resources& room);
     /// @brief How many more tasks of a given size an organisation may start. Work without an organisation has
     /// no limit. Complexity: logarithmic in the organisations.
     /// @param each size of one task
--- a/include/walkthread/workload/submission.hpp
+++ b/include/walkthread/workload/submission.hpp
@@ -19,7 +19,7 @@
 /// @brief Id of a submission, chosen by its caller; unique over all queues.
 using submission_id = strong<struct submission_id_tag, std::uint64_t>;
 /// @brief Number of a worker's incarnation, assigned by the replicated state; 0 for none.
-using worker_life_id = strong<struct worker_life_id_tag, std::uint32_t>;
+using worker_incarnation_id = strong<struct worker_incarnation_id_tag, std::uint32_t>;
 /// @brief Index of a repetition of a submission, from 0.
 using round_id = strong<struct round_id_tag, std::uint32_t>;
 
@@ -35,7 +35,7 @@
     bool gang{};                      ///< gang scheduling: the tasks only work if all of them run
     bool same_rack{};                 ///< slower when spread over several racks
     bool duplicates_allowed{};        ///< several runs of a task may exist at the same time
-    bool lasting{};                   ///< runs until the submission is cancelled
+    bool long_running{};              ///< runs until the submission is cancelled
     bool fills{};                     ///< best effort: uses only processor time that other tasks leave idle
     std::string required_label;       ///< a label the host must have; empty for none
     std::string preferred_rack;       ///< the rack that holds the data; empty for none
@@ -43,12 +43,13 @@
     std::string image;                ///< tasks of the same image are assumed to behave alike
     std::int64_t latency_target_ms{}; ///< for tasks that serve users: bound on their tail latency; 0 for none
     std::uint32_t may_miss{};         ///< how many long-running tasks the scheduler may stop at the same time
-    MSGPACK_DEFINE(count, size, estimate_ms, after, checkpoints, gang, same_rack, duplicates_allowed, lasting,
-                   fills, required_label, preferred_rack, per_host_limit, image, latency_target_ms, may_miss)
+    MSGPACK_DEFINE(count, size, estimate_ms, after, checkpoints, gang, same_rack, duplicates_allowed,
+                   long_running, fills, required_label, preferred_rack, per_host_limit, image,
+                   latency_target_ms, may_miss)
 };
 
 /// @brief Maximum steps of one submission: far above what callers send; bounds the size of a log entry.
-inline constexpr std::size_t most_steps = 64;
+inline constexpr std::size_t max_steps = 64;
 
 /// @brief A submission as sent by its caller.
 /// @since 0.2
@@ -119,13 +120,13 @@
 /// @brief Stored state of one task.
 struct work_task
 {
-    std::uint8_t phase{};       ///< a work_phase
-    std::uint32_t run{};        ///< number of the last run; 0 before the first
-    std::uint32_t failures{};   ///< runs that ended as failed
-    worker_life_id worker{};    ///< worker of the active run
-    worker_life_id failed_on{}; ///< worker of the last failed run
-    std::string checkpoint;     ///< the last known one; empty for none
-    std::uint8_t last_end{};    ///< a run_end: how the last run ended, if the task is waiting again
+    std::uint8_t phase{};              ///< a work_phase
+    std::uint32_t run{};               ///< number of the last run; 0 before the first
+    std::uint32_t failures{};          ///< runs that ended as failed
+    worker_incarnation_id worker{};    ///< worker of the active run
+    worker_incarnation_id failed_on{}; ///< worker of the last failed run
+    std::string checkpoint;            ///< the last known one; empty for none
+    std::uint8_t last_end{};           ///< a run_end: how the last run ended, if the task is waiting again
     MSGPACK_DEFINE(phase, run, failures, worker, failed_on, checkpoint, last_end)
 
     [[nodiscard]] work_phase state() const
--- a/include/walkthread/workload/workload_state.hpp
+++ b/include/walkthread/workload/workload_state.hpp
@@ -21,38 +21,38 @@
 
 /// @brief Replicated state of one incarnation of a worker.
 /// @since 0.2
-struct worker_life
+struct worker_incarnation
 {
-    worker_life_id id{};
-    worker_facts facts;
-    std::uint64_t listed_up_to{};          ///< its reported ends are recorded up to this sequence number
+    worker_incarnation_id id{};
+    worker_description description;
+    std::uint64_t ends_recorded_up_to{};   ///< its reported ends are recorded up to this sequence number
     std::map<run_ref, resources> occupied; ///< runs that may exist there, and the resources they use
     resources used{};                      ///< sum over `occupied`
     bool leaving{};                        ///< it announced that it leaves: no new starts there
     std::uint64_t leaving_sequence{};      ///< number of the report that set `leaving`
-    std::uint64_t facts_sequence{};        ///< number of the report with `description`
+    std::uint64_t description_sequence{};  ///< number of the report with `description`
     /// `description` is that of the former incarnation, so nothing new starts there yet.
     bool assumed{};
     /// Former incarnation with the same id, whose runs were transferred to this one; 0 for none.
-    worker_life_id follows{};
+    worker_incarnation_id follows{};
     /// Last known state of its runs when it stopped answering; empty while it answers.
-    std::vector<lost_run> last_word;
-    MSGPACK_DEFINE(id, facts, listed_up_to, occupied, used, leaving, leaving_sequence, facts_sequence,
-                   assumed, follows, last_word)
+    std::vector<lost_run> last_known_runs;
+    MSGPACK_DEFINE(id, description, ends_recorded_up_to, occupied, used, leaving, leaving_sequence,
+                   description_sequence, assumed, follows, last_known_runs)
 };
 
 /// @brief Leaving state of an incarnation that was removed as unresponsive; it may return.
-struct unheard_life
+struct unresponsive_incarnation
 {
     std::string id;
     std::uint64_t leaving_sequence{}; ///< number of the report that set `leaving`
     bool leaving{};
-    birth_ms born{};
-    MSGPACK_DEFINE(id, leaving_sequence, leaving, born)
+    process_start_ms process_start{};
+    MSGPACK_DEFINE(id, leaving_sequence, leaving, process_start)
 };
 
 /// @brief Replicated state of a maintenance wave.
-struct upkeep_wave
+struct maintenance_wave
 {
     std::uint64_t wave{};
     std::map<std::string, std::uint8_t> hosts; ///< maintenance_phase of each host
@@ -79,17 +79,17 @@
     /// @brief Replaces the state by a saved one. @return whether the bytes could be decoded
     bool load(const std::string& bytes);
 
-    [[nodiscard]] const std::optional<catalogue>& held_catalogue() const
+    [[nodiscard]] const std::optional<cluster_configuration>& current_configuration() const
     {
-        return m_catalogue;
+        return m_configuration;
     }
     /// @brief The API keys of the current configuration.
-    [[nodiscard]] const key_ring& keys() const
+    [[nodiscard]] const api_key_index& keys() const
     {
         return m_keys;
     }
     /// @brief Usage and limits of the organisations.
-    [[nodiscard]] const quota_book& quotas() const
+    [[nodiscard]] const quota_usage& quotas() const
     {
         return m_quotas;
     }
@@ -102,13 +102,13 @@
         return m_submissions;
     }
     /// @brief An incarnation of a worker, or null.
-    [[nodiscard]] const worker_life* find(worker_life_id id) const;
-    [[nodiscard]] const worker_life* find_life(const life_ref& life) const;
+    [[nodiscard]] const worker_incarnation* find(worker_incarnation_id id) const;
+    [[nodiscard]] const worker_incarnation* find_incarnation(const worker_incarnation_ref& incarnation) const;
     /// @brief The incarnation that was added last with this worker id, or null.
-    [[nodiscard]] const worker_life* find_id(const std::string& id) const;
+    [[nodiscard]] const worker_incarnation* find_id(const std::string& id) const;
     /// @brief The current incarnation on a host, or null.
-    [[nodiscard]] const worker_life* find_host(const std::string& host) const;
-    [[nodiscard]] const std::map<worker_life_id, worker_life>& workers() const
+    [[nodiscard]] const worker_incarnation* find_host(const std::string& host) const;
+    [[nodiscard]] const std::map<worker_incarnation_id, worker_incarnation>& workers() const
     {
         return m_workers;
     }
@@ -132,12 +132,12 @@
     {
         return m_ended;
     }
-    [[nodiscard]] const std::map<std::uint64_t, upkeep_wave>& waves() const
+    [[nodiscard]] const std::map<std::uint64_t, maintenance_wave>& waves() const
     {
         return m_waves;
     }
     /// @brief Evidence on tasks that may crash the hosts they run on.
-    [[nodiscard]] const crash_ledger& crashes() const
+    [[nodiscard]] const crash_evidence_table& crashes() const
     {
         return m_crashes;
     }
@@ -154,78 +154,81 @@
   private:
     struct snapshot_content
     {
-        std::optional<catalogue> held;
+        std::optional<cluster_configuration> held;
         std::vector<submission> submissions;
-        std::vector<worker_life> workers;
-        std::vector<upkeep_wave> waves;
+        std::vector<worker_incarnation> workers;
+        std::vector<maintenance_wave> waves;
         std::uint32_t next_worker{};
         std::vector<std::string> former_ids; ///< from older snapshots without process start times
-        std::vector<unheard_life> unheard;
-        crash_ledger crashes;
-        std::vector<life_ref> former;
-        quota_book quotas;
+        std::vector<unresponsive_incarnation> unheard;
+        crash_evidence_table crashes;
+        std::vector<worker_incarnation_ref> former;
+        quota_usage quotas;
         MSGPACK_DEFINE(held, submissions, workers, waves, next_worker, former_ids, unheard, crashes, former,
                        quotas)
     };
 
-    workload_result handle(wall_ms at, const replace_catalogue& command);
-    workload_result handle(wall_ms at, const keep_submission& command);
+    workload_result handle(wall_ms at, const replace_cluster_configuration& command);
+    workload_result handle(wall_ms at, const accept_submission& command);
     workload_result handle(wall_ms at, const cancel_submission& command);
     workload_result handle(wall_ms at, const admit_worker& command);
     workload_result handle(wall_ms at, const drop_worker& command);
     workload_result handle(wall_ms at, const mark_leaving& command);
-    workload_result handle(wall_ms at, const note_last_word& command);
+    workload_result handle(wall_ms at, const record_last_known_runs& command);
     workload_result handle(wall_ms at, const record_starts& command);
     workload_result handle(wall_ms at, const record_ends& command);
     workload_result handle(wall_ms at, const forget_submissions& command);
     workload_result handle(wall_ms at, const begin_wave& command);
-    workload_result handle(wall_ms at, const advance_upkeep& command);
+    workload_result handle(wall_ms at, const advance_maintenance& command);
 
     bool start(const planned_start& planned);
     [[nodiscard]] bool can_start(const planned_start& planned) const;
     void start_all_or_none(const record_starts& command);
-    void apply_end(wall_ms at, worker_life& worker, const observed_end& end);
+    void apply_end(wall_ms at, worker_incarnation& worker, const observed_end& end);
     void complete_task(wall_ms at, submission& owner, const task_ref& ref);
     void complete_gang(wall_ms at, submission& owner, const run_ref& run);
-    void fail_task(wall_ms at, submission& owner, const run_ref& run, worker_life_id worker);
-    void release(worker_life& worker, const run_ref& run);
-    void drop(wall_ms at, worker_life_id id, const std::vector<lost_run>& lost);
-    void accuse(wall_ms at, const std::string& host, const std::vector<lost_run>& lost);
+    void fail_task(wall_ms at, submission& owner, const run_ref& run, worker_incarnation_id worker);
+    void release(worker_incarnation& worker, const run_ref& run);
+    void drop(wall_ms at, worker_incarnation_id id, const std::vector<lost_run>& lost);
+    void add_crash_evidence(wall_ms at, const std::string& host, const std::vector<lost_run>& lost);
     [[nodiscard]] bool may_be_given_up(const run_ref& run) const;
-    [[nodiscard]] bool in_upkeep(const std::string& host) const;
-    void finish_upkeep(const std::string& host);
-    void retire(const life_ref& life);
-    void number_life(const admit_worker& command);
-    void transfer_runs(wall_ms at, const admit_worker& command, worker_life_id former);
-    void remember_unheard(const worker_life& worker);
-    void recall_unheard(worker_life& worker);
+    [[nodiscard]] bool in_maintenance(const std::string& host) const;
+    void finish_maintenance(const std::string& host);
+    void mark_former(const worker_incarnation_ref& incarnation);
+    void add_incarnation(const admit_worker& command);
+    void transfer_runs(wall_ms at, const admit_worker& command, worker_incarnation_id former);
+    void save_leaving_state(const worker_incarnation& worker);
+    void restore_leaving_state(worker_incarnation& worker);
     void finish(wall_ms at, submission& owner, submission_phase phase);
     static void drop_details(submission& owner);
     void set_phase(submission& owner, submission_phase phase);
     void refresh_ready(const submission& owner, round_id round, std::uint32_t step);
     void refresh_round(const submission& owner, round_id round);
     void rebuild_indexes();
-    void index_catalogue();
+    void index_configuration();
     void index_usage();
     work_task* task_of(const task_ref& ref);
 
-    std::optional<catalogue> m_catalogue;
+    std::optional<cluster_configuration> m_configuration;
     std::unordered_map<submission_id, submission> m_submissions;
-    std::map<worker_life_id, worker_life> m_workers;
-    std::map<std::uint64_t, upkeep_wave> m_waves;
-    std::uint32_t m_next_worker = 1;
-    std::vector<life_ref> m_former; ///< ended incarnations, oldest first: late reports of them are rejected
-    std::vector<unheard_life> m_unheard; ///< removed incarnations with a leaving state, oldest first
-    crash_ledger m_crashes;
-    quota_book m_quotas;
+    std::map<worker_incarnation_id, worker_incarnation> m_workers;
+    std::map<std::uint64_t, maintenance_wave> m_waves;
+    std::uint32_t m_next_incarnation = 1;
+    std::vector<worker_incarnation_ref>
+        m_former; ///< ended incarnations, oldest first: late reports of them are rejected
+    std::vector<unresponsive_incarnation>
+        m_unresponsive; ///< removed incarnations with a leaving state, oldest first
+    crash_evidence_table m_crashes;
+    quota_usage m_quotas;
 
     // Indexes derived from the above; not saved.
-    key_ring m_keys;
+    api_key_index m_keys;
     std::uint64_t m_workers_version = 1;
     std::vector<submission_id> m_ended_by_command; ///< submissions ended by the command that is being applied
-    std::unordered_map<std::string, std::size_t> m_queue_places; ///< positions in the configuration, by name
-    std::map<life_ref, worker_life_id> m_by_life;
-    std::map<std::string, worker_life_id> m_by_host;
+    std::unordered_map<std::string, std::size_t>
+        m_queue_positions; ///< positions in the configuration, by name
+    std::map<worker_incarnation_ref, worker_incarnation_id> m_by_incarnation;
+    std::map<std::string, worker_incarnation_id> m_by_host;
     std::set<step_ref> m_ready;
     std::set<submission_id> m_closing;
     std::set<std::pair<wall_ms, submission_id>> m_ended;
@@ -234,6 +237,6 @@
 
 /// @brief Resources that a task of a step reserves on its host: best-effort (`fills`) tasks reserve no
 /// processors.
-[[nodiscard]] resources room_of(const step_spec& step);
+[[nodiscard]] resources host_demand_of(const step_spec& step);
 
 } // namespace walkthread
--- a/src/dispatch/advice_book.cpp
+++ b/src/dispatch/advice_book.cpp
@@ -33,15 +33,15 @@
 }
 
 void advice_book::take(const step_ref& step, const std::string& queue,
-                       const std::vector<worker_life_id>& asked,
-                       const std::map<worker_life_id, std::string>& tickets, const advice_times& times,
+                       const std::vector<worker_incarnation_id>& asked,
+                       const std::map<worker_incarnation_id, std::string>& tickets, const advice_times& times,
                        milliseconds validity)
 {
     step_advice& known = m_steps[step];
     known.last_took = times.answered - times.asked;
     std::size_t fresh = 0;
     std::size_t good = 0;
-    for (const worker_life_id worker : asked)
+    for (const worker_incarnation_id worker : asked)
     {
         const bool first = !known.entries.contains(worker);
         advice_entry& entry = known.entries[worker];
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -32,7 +32,7 @@
     : m_state(state), m_settings(settings), m_hooks(std::move(hooks)), m_log(log), m_fence(fence),
       m_term_start(now), m_hosts(m_state, m_views, m_settings, m_upkeep_hosts),
       m_suspects(state.crashes(), m_settings.suspects_watched), m_news(news_kept),
-      m_verdicts_noted(state.crashes().verdict_count())
+      m_verdicts_noted(state.crashes().poison_task_count())
 {
     if (!uses(mechanism::answer_tickets))
     {
@@ -61,18 +61,19 @@
 
 // Also null between the commit that drops an incarnation and the next pass, which erases its view: answers
 // that arrive in between are ignored.
-worker_view* dispatcher::view_of(worker_life_id worker)
+worker_view* dispatcher::view_of(worker_incarnation_id worker)
 {
     const auto found = m_views.find(worker);
     return found == m_views.end() || m_state.find(worker) == nullptr ? nullptr : &found->second;
 }
 
-worker_address dispatcher::address_of(worker_life_id worker) const
+worker_address dispatcher::address_of(worker_incarnation_id worker) const
 {
-    const worker_life* life = m_state.find(worker);
-    return life == nullptr
+    const worker_incarnation* incarnation = m_state.find(worker);
+    return incarnation == nullptr
                ? worker_address{}
-               : worker_address{worker, life->facts.id, life->facts.born, life->facts.address, m_fence};
+               : worker_address{worker, incarnation->description.id, incarnation->description.process_start,
+                                incarnation->description.address, m_fence};
 }
 
 // Adds views of new incarnations and erases those of dropped ones.
@@ -97,7 +98,7 @@
                   });
 }
 
-worker_view dispatcher::make_view(const worker_life& worker, monotonic_time now)
+worker_view dispatcher::make_view(const worker_incarnation& worker, monotonic_time now)
 {
     worker_view view;
     view.id = worker.id;
@@ -108,7 +109,7 @@
     view.leaves_at = now + m_settings.lease_cap; // assumed until the worker reports to this leader
     if (worker.leaving)
     {
-        log_event(now, "worker_draining", worker.facts.id,
+        log_event(now, "worker_draining", worker.description.id,
                   {{"from", "log"}, {"sequence", worker.leaving_sequence}, {"runs", worker.occupied.size()}});
     }
     const double longest =
@@ -216,7 +217,7 @@
     }
     const wall_ms since = std::max(due, item.owner->accepted);
     const auto age = static_cast<double>(std::max<wall_ms>(wall - since, 0));
-    if (item.step->lasting)
+    if (item.step->long_running)
     {
         item.slack_ms = -age;
         return true;
@@ -234,7 +235,7 @@
 // has missed its latency objective: even at risk of being late, it is worth more.
 int dispatcher::rank(const candidate& item) const
 {
-    if (item.step->lasting)
+    if (item.step->long_running)
     {
         return 0;
     }
@@ -268,7 +269,7 @@
     for (const step_ref& ref : m_state.ready())
     {
         candidate item = make_candidate(ref);
-        if (!all && !item.urgent() && !item.step->lasting)
+        if (!all && !item.urgent() && !item.step->long_running)
         {
             m_full_wanted = true;
         }
@@ -356,7 +357,7 @@
                 for (std::uint32_t i = 0; i < tasks.size(); ++i)
                 {
                     const run_ref run{{{id, round_id{r}, s}, i}, tasks[i].run};
-                    const worker_life* worker = m_state.find(tasks[i].worker);
+                    const worker_incarnation* worker = m_state.find(tasks[i].worker);
                     if (tasks[i].state() == work_phase::active && worker != nullptr &&
                         worker->occupied.contains(run))
                     {
@@ -371,7 +372,7 @@
 void dispatcher::propose_starts(const candidate& item, const std::vector<planned_start>& starts,
                                 const std::vector<std::string>& tickets, monotonic_time now)
 {
-    const resources room = room_of(*item.step);
+    const resources room = host_demand_of(*item.step);
     const resources counted = item.step->size * static_cast<std::int64_t>(starts.size());
     drop_hold(item.ref);
     m_planned_by[item.owner->organisation] += counted;
--- a/src/dispatch/dispatcher_advice.cpp
+++ b/src/dispatch/dispatcher_advice.cpp
@@ -74,7 +74,7 @@
     struct question_item
     {
         std::uint64_t order; ///< lower values are queried first
-        worker_life_id worker;
+        worker_incarnation_id worker;
         std::uint32_t slots;
         double weight;
     };
@@ -94,7 +94,7 @@
     double usable_slots = 0;
     for (const offer& o : find_offers_to_ask(item, need, now))
     {
-        const worker_life_id id = o.worker->id;
+        const worker_incarnation_id id = o.worker->id;
         const auto entry = known.entries.find(id);
         const bool seen = entry != known.entries.end();
         if ((seen && !entry->second.good) || o.whole == 0)
@@ -134,10 +134,10 @@
         return; // new tickets would expire before all tasks fit
     }
     // Where naming a worker is cheap, a few extra ones save a later query for retries or for faster hosts.
-    const advice_terms& terms = item.queue->advice;
+    const advice_settings& terms = item.queue->advice;
     const double cheap = terms.each_ms > 0 ? spare_cost * terms.decision_ms / terms.each_ms : 0.0;
     const std::size_t least = std::clamp(static_cast<std::size_t>(cheap), least_asked, spare_asked);
-    std::vector<worker_life_id> asked;
+    std::vector<worker_incarnation_id> asked;
     double sum = usable_slots;
     for (const question_item& o : offers)
     {
@@ -166,7 +166,7 @@
     {
         return;
     }
-    std::vector<worker_life_id> hosts;
+    std::vector<worker_incarnation_id> hosts;
     std::size_t good = 0;
     const step_advice& known = m_advice.of(item.ref);
     // Tickets that would expire during the next query are renewed now.
@@ -187,7 +187,7 @@
     }
 }
 
-void dispatcher::send_advisor_query(const candidate& item, const std::vector<worker_life_id>& workers,
+void dispatcher::send_advisor_query(const candidate& item, const std::vector<worker_incarnation_id>& workers,
                                     bool pressing, monotonic_time now)
 {
     if (workers.empty())
@@ -196,9 +196,9 @@
     }
     advice_question question;
     question.step = item.ref;
-    for (const worker_life_id worker : workers)
+    for (const worker_incarnation_id worker : workers)
     {
-        question.incarnations.push_back(m_state.find(worker)->facts.id);
+        question.incarnations.push_back(m_state.find(worker)->description.id);
     }
     ++m_advice.of(item.ref).open_questions;
     ++m_counters.questions;
@@ -220,7 +220,7 @@
 }
 
 void dispatcher::take_advice(const step_ref& ref, const std::string& queue,
-                             const std::vector<worker_life_id>& workers, const advice_answer& answer,
+                             const std::vector<worker_incarnation_id>& workers, const advice_answer& answer,
                              milliseconds validity)
 {
     const monotonic_time now = m_hooks.now();
@@ -229,10 +229,10 @@
     open.ask_after = now + (answer.answered ? m_settings.advice_gap : m_settings.advice_retry);
     if (answer.answered)
     {
-        std::map<worker_life_id, std::string> tickets;
+        std::map<worker_incarnation_id, std::string> tickets;
         for (const advice_grant& grant : answer.good)
         {
-            const worker_life* worker = m_state.find_id(grant.life);
+            const worker_incarnation* worker = m_state.find_id(grant.incarnation);
             const bool asked =
                 worker != nullptr && std::find(workers.begin(), workers.end(), worker->id) != workers.end();
             if (asked) // a ticket is valid only for the incarnation that was queried
--- a/src/dispatch/dispatcher_gang_room.cpp
+++ b/src/dispatch/dispatcher_gang_room.cpp
@@ -25,7 +25,7 @@
     std::vector<candidate> gangs;
     for (const candidate& item : items)
     {
-        if (!item.step->gang || item.urgent() || item.step->lasting ||
+        if (!item.step->gang || item.urgent() || item.step->long_running ||
             waiting_tasks(item) != item.step->count)
         {
             continue;
@@ -57,8 +57,8 @@
         const host_row& row = m_hosts.at(place);
         if (row.usable && row.pool == pool)
         {
-            room += row.worker->facts.size;
-            in_use += row.worker->facts.size - row.open;
+            room += row.worker->description.size;
+            in_use += row.worker->description.size - row.open;
         }
     }
     return {m_settings.reservations, room, in_use};
@@ -104,7 +104,7 @@
             const std::optional<gang_reservation> at_once = find_reservation(item, kept, now);
             found = at_once && at_once->ready_ms <= 0.0 ? at_once : found;
         }
-        const resources wanted = room_of(*item.step) * item.step->count;
+        const resources wanted = host_demand_of(*item.step) * item.step->count;
         if (!found)
         {
             m_seeks_hosts.insert(item.ref);
@@ -186,7 +186,7 @@
     room_hold out;
     out.tasks = found.tasks;
     out.total = item.step->count;
-    out.each = room_of(*item.step);
+    out.each = host_demand_of(*item.step);
     out.missed = item.missed();
     out.grew = now;
     out.ahead = true;
@@ -252,7 +252,7 @@
 
 // Capacity reserved on a host for other gangs: with `meantime` the part that the step may backfill, else the
 // part that it may not use.
-resources dispatcher::reserved_for_others(const candidate& item, worker_life_id host, bool meantime,
+resources dispatcher::reserved_for_others(const candidate& item, worker_incarnation_id host, bool meantime,
                                           monotonic_time now) const
 {
     resources sum;
--- a/src/dispatch/dispatcher_gangs.cpp
+++ b/src/dispatch/dispatcher_gangs.cpp
@@ -201,8 +201,8 @@
             others.wanted += hold.each * step->count;
         }
     }
-    return may_join_gathering(others, room_of(*item.step) * item.step->count, m_hosts.room_of(item.pool),
-                              m_settings.gathering);
+    return may_join_gathering(others, host_demand_of(*item.step) * item.step->count,
+                              m_hosts.host_demand_of(item.pool), m_settings.gathering);
 }
 
 void dispatcher::set_hold(const step_ref& ref, room_hold next)
@@ -263,7 +263,7 @@
                          std::make_tuple(own(a), spares_accelerators(item, a), a.slots, a.worker->id);
               });
     room_hold next;
-    next.each = room_of(*item.step);
+    next.each = host_demand_of(*item.step);
     next.missed = item.missed();
     for (const offer& o : offers)
     {
@@ -322,19 +322,19 @@
 // of the other hosts would expire before a query about some of them is answered.
 milliseconds dispatcher::question_time(const candidate& item, const room_hold& hold)
 {
-    const advice_terms& terms = item.queue->advice;
+    const advice_settings& terms = item.queue->advice;
     const double question_ms = terms.decision_ms + terms.each_ms * static_cast<double>(hold.tasks.size());
     return std::max(std::chrono::duration_cast<milliseconds>(m_advice.of(item.ref).last_took),
                     milliseconds(static_cast<std::int64_t>(question_ms)));
 }
 
 // Hosts of the hold whose tickets would expire before a query about all of them is answered.
-std::vector<worker_life_id> dispatcher::hosts_without_ticket(const candidate& item, const room_hold& hold,
-                                                             monotonic_time now)
+std::vector<worker_incarnation_id> dispatcher::hosts_without_ticket(const candidate& item,
+                                                                    const room_hold& hold, monotonic_time now)
 {
     const step_advice& known = m_advice.of(item.ref);
     const milliseconds needed = m_settings.ticket_margin + question_time(item, hold);
-    std::vector<worker_life_id> hosts;
+    std::vector<worker_incarnation_id> hosts;
     for (const auto& [host, count] : hold.tasks)
     {
         const auto entry = known.entries.find(host);
@@ -381,7 +381,7 @@
     }
     step_advice& known = m_advice.of(item.ref);
     known.ask_after = now + m_settings.advice_gap;
-    std::vector<worker_life_id> asked;
+    std::vector<worker_incarnation_id> asked;
     double within_reach = 0;
     double unknown_free = 0;
     const double share = m_advice.good_share(item.owner->queue);
--- a/src/dispatch/dispatcher_losses.cpp
+++ b/src/dispatch/dispatcher_losses.cpp
@@ -15,8 +15,8 @@
 // caused it from its neighbours or from runs that never started.
 void dispatcher::keep_last_word(worker_view& view, monotonic_time now)
 {
-    const worker_life& worker = *m_state.find(view.id);
-    if (!view.answered || view.runs.empty() || view.last_word_pending || !worker.last_word.empty())
+    const worker_incarnation& worker = *m_state.find(view.id);
+    if (!view.answered || view.runs.empty() || view.last_word_pending || !worker.last_known_runs.empty())
     {
         return;
     }
@@ -25,7 +25,7 @@
 
 void dispatcher::forget_last_word(worker_view& view)
 {
-    if (!view.last_word_pending && !m_state.find(view.id)->last_word.empty())
+    if (!view.last_word_pending && !m_state.find(view.id)->last_known_runs.empty())
     {
         record_last_word(view, {});
     }
@@ -34,7 +34,7 @@
 void dispatcher::record_last_word(worker_view& view, std::vector<lost_run> runs)
 {
     view.last_word_pending = true;
-    m_hooks.propose(note_last_word{view.id, std::move(runs)},
+    m_hooks.propose(record_last_known_runs{view.id, std::move(runs)},
                     [this, alive = m_alive, id = view.id](bool)
                     {
                         if (worker_view* later = *alive ? view_of(id) : nullptr; later != nullptr)
@@ -72,7 +72,7 @@
 std::vector<lost_run> dispatcher::runs_lost_with(const worker_view& view, monotonic_time now) const
 {
     std::vector<lost_run> lost = runs_known_on(view, now);
-    for (const lost_run& before : m_state.find(view.id)->last_word)
+    for (const lost_run& before : m_state.find(view.id)->last_known_runs)
     {
         const auto same = [&before](const lost_run& item)
         {
@@ -94,7 +94,7 @@
 // members of a gang end as soon as one of them is lost, so of several hosts lost under one run only the first
 // still had running members. A host that reported the end of its own member was lost later.
 bool dispatcher::may_have_broken_before(const run_ref& run, monotonic_time lost_at,
-                                        worker_life_id lost_with) const
+                                        worker_incarnation_id lost_with) const
 {
     const step_spec* step = m_state.find(run.task.step);
     for (std::uint32_t index = 0; step != nullptr && step->gang && index < step->count; ++index)
@@ -112,16 +112,16 @@
 }
 
 // Whether the incarnation that a run was started on has answered since `then`.
-bool dispatcher::outlived(const run_ref& run, worker_life_id worker, monotonic_time then) const
+bool dispatcher::outlived(const run_ref& run, worker_incarnation_id worker, monotonic_time then) const
 {
-    const worker_life* life = m_state.find(worker);
+    const worker_incarnation* incarnation = m_state.find(worker);
     const auto view = m_views.find(worker);
-    if (life == nullptr || view == m_views.end() || view->second.drop_proposed)
+    if (incarnation == nullptr || view == m_views.end() || view->second.drop_proposed)
     {
         return false;
     }
     const auto known = view->second.runs.find(run);
-    const bool follows = life->follows != worker_life_id{};
+    const bool follows = incarnation->follows != worker_incarnation_id{};
     const bool of_former_incarnation = known != view->second.runs.end() &&
                                        (known->second.carried_over || (known->second.inherited && follows));
     return !of_former_incarnation && view->second.contact.last_heard() >= then;
@@ -135,9 +135,9 @@
     for (const lost_run& item : lost)
     {
         const run_view& known = view.runs.at(item.run);
-        const suspicion* before = m_state.crashes().find(item.run.task);
+        const crash_evidence* before = m_state.crashes().find(item.run.task);
         log_event(now, "run_lost", name_of(item.run),
-                  {{"worker", m_state.find(view.id)->facts.id},
+                  {{"worker", m_state.find(view.id)->description.id},
                    {"began", item.began},
                    {"over", item.over},
                    {"inherited", known.inherited},
@@ -153,9 +153,9 @@
 
 void dispatcher::note_verdicts(monotonic_time now)
 {
-    const crash_ledger& crashes = m_state.crashes();
-    const std::uint64_t fresh = crashes.verdict_count() - m_verdicts_noted;
-    const auto& kept = crashes.verdicts();
+    const crash_evidence_table& crashes = m_state.crashes();
+    const std::uint64_t fresh = crashes.poison_task_count() - m_verdicts_noted;
+    const auto& kept = crashes.poison_tasks();
     for (std::size_t i = kept.size() - std::min<std::size_t>(fresh, kept.size()); i < kept.size(); ++i)
     {
         ++m_counters.tasks_given_up;
@@ -166,7 +166,7 @@
                    {"blame", kept[i].against.blame},
                    {"last_host", kept[i].last_host}});
     }
-    m_verdicts_noted = crashes.verdict_count();
+    m_verdicts_noted = crashes.poison_task_count();
 }
 
 // An incarnation dropped only because it was unresponsive may come back, unless `for_good` is set.
@@ -185,8 +185,8 @@
     {
         m_suspects.note_loss(item.run.task, now);
     }
-    const worker_life& worker = *m_state.find(view.id);
-    log_event(now, "worker_dropped", worker.facts.id,
+    const worker_incarnation& worker = *m_state.find(view.id);
+    log_event(now, "worker_dropped", worker.description.id,
               {{"reason", reason},
                {"unheard_ms", now - view.contact.last_heard()},
                {"runs", worker.occupied.size()}});
--- a/src/dispatch/dispatcher_orders.cpp
+++ b/src/dispatch/dispatcher_orders.cpp
@@ -59,7 +59,7 @@
     }
 }
 
-void dispatcher::send_start(worker_life_id worker, const run_ref& run, monotonic_time now)
+void dispatcher::send_start(worker_incarnation_id worker, const run_ref& run, monotonic_time now)
 {
     worker_view& view = m_views[worker];
     run_view& known = view.runs[run];
@@ -105,16 +105,16 @@
         return;
     }
     view.start_noted = true;
-    const worker_life& worker = *m_state.find(view.id);
+    const worker_incarnation& worker = *m_state.find(view.id);
     log_event(now, "start_before_report", name_of(run),
-              {{"worker", worker.facts.id},
+              {{"worker", worker.description.id},
                {"leaving", worker.leaving},
                {"sequence", worker.leaving_sequence},
                {"led_for_ms", now - m_term_start}});
 }
 
-void dispatcher::handle_start_answer(worker_life_id worker, const run_ref& run, const order_answer& answer,
-                                     monotonic_time now)
+void dispatcher::handle_start_answer(worker_incarnation_id worker, const run_ref& run,
+                                     const order_answer& answer, monotonic_time now)
 {
     worker_view* view = view_of(worker);
     const auto found = view == nullptr ? std::map<run_ref, run_view>::iterator{} : view->runs.find(run);
@@ -136,7 +136,7 @@
         return;
     }
     log_event(now, "start_not_taken", name_of(run),
-              {{"worker", m_state.find(worker)->facts.id},
+              {{"worker", m_state.find(worker)->description.id},
                {"outcome", static_cast<int>(answer.outcome)},
                {"tries", known.tries},
                {"after_ms", now - known.sent}});
@@ -200,10 +200,10 @@
     end_run(view.id, run, run_end::never_began, now);
 }
 
-void dispatcher::end_run(worker_life_id worker, const run_ref& run, run_end how, monotonic_time now)
+void dispatcher::end_run(worker_incarnation_id worker, const run_ref& run, run_end how, monotonic_time now)
 {
     log_event(now, "run_ended", name_of(run),
-              {{"worker", m_state.find(worker)->facts.id}, {"how", name_of(how)}});
+              {{"worker", m_state.find(worker)->description.id}, {"how", name_of(how)}});
     record_ends command;
     command.worker = worker;
     command.ends.push_back({run, static_cast<std::uint8_t>(how), {}});
@@ -267,7 +267,7 @@
     if (!known.stopping)
     {
         log_event(now, "run_stopping", name_of(run),
-                  {{"worker", m_state.find(view.id)->facts.id}, {"wanted", m_state.needs_run(run)}});
+                  {{"worker", m_state.find(view.id)->description.id}, {"wanted", m_state.needs_run(run)}});
     }
     known.stopping = true;
     known.stop_in_flight = true;
@@ -281,8 +281,8 @@
                  });
 }
 
-void dispatcher::handle_stop_answer(worker_life_id worker, const run_ref& run, const order_answer& answer,
-                                    monotonic_time now)
+void dispatcher::handle_stop_answer(worker_incarnation_id worker, const run_ref& run,
+                                    const order_answer& answer, monotonic_time now)
 {
     worker_view* view = view_of(worker);
     const auto found = view == nullptr ? std::map<run_ref, run_view>::iterator{} : view->runs.find(run);
@@ -401,11 +401,11 @@
             const bool paced = known.pace < 100; // throttled by this leader, so no progress is expected
             // Measured up to the last answer: runs of an unresponsive worker may well make progress.
             const bool stalled =
-                !step.lasting && !paced && view.contact.last_heard() - known.progressed > stall_limit;
+                !step.long_running && !paced && view.contact.last_heard() - known.progressed > stall_limit;
             if (stalled)
             {
                 view.avoid_until = std::max(view.avoid_until, now + view.next_quarantine);
-                log_event(now, "worker_avoided", m_state.find(id)->facts.id,
+                log_event(now, "worker_avoided", m_state.find(id)->description.id,
                           {{"reason", "run made no progress"},
                            {"run", name_of(run)},
                            {"unchanged_ms", now - known.progressed}});
--- a/src/dispatch/dispatcher_place.cpp
+++ b/src/dispatch/dispatcher_place.cpp
@@ -33,7 +33,8 @@
 
 // The number of further tasks of the step that a host with this free capacity may take. All code that
 // counts slots uses this function: a host at the step's per-host limit has none, however much is free.
-std::uint32_t dispatcher::slots(const candidate& item, worker_life_id worker, const resources& room) const
+std::uint32_t dispatcher::slots(const candidate& item, worker_incarnation_id worker,
+                                const resources& room) const
 {
     std::uint32_t limit = item.step->per_host_limit > 0 ? item.step->per_host_limit : item.step->count;
     const auto placed = item.placed.find(worker);
@@ -41,7 +42,7 @@
     {
         limit -= std::min(limit, placed->second);
     }
-    return std::min(limit, count_slots(room_of(*item.step), room));
+    return std::min(limit, count_slots(host_demand_of(*item.step), room));
 }
 
 std::uint32_t dispatcher::waiting_tasks(const candidate& item) const
@@ -75,9 +76,9 @@
     return item.step->gang && places < item.step->count ? 0 : places;
 }
 
-std::map<worker_life_id, std::uint32_t> dispatcher::placed_tasks(const candidate& item) const
+std::map<worker_incarnation_id, std::uint32_t> dispatcher::placed_tasks(const candidate& item) const
 {
-    std::map<worker_life_id, std::uint32_t> out;
+    std::map<worker_incarnation_id, std::uint32_t> out;
     if (item.step->per_host_limit == 0)
     {
         return out;
@@ -102,7 +103,7 @@
 // long-running work if nothing else is free, and for runs that end before a reservation is due.
 resources dispatcher::room_for(const candidate& item, const host_row& row, monotonic_time now) const
 {
-    if (item.urgent() || item.step->lasting)
+    if (item.urgent() || item.step->long_running)
     {
         return slots(item, row.worker->id, row.free) > 0 ? row.free : row.open;
     }
@@ -149,13 +150,14 @@
         return false;
     }
     const std::string& required = item.step->required_label;
-    const auto& labels = row.worker->facts.labels;
+    const auto& labels = row.worker->description.labels;
     return required.empty() || std::find(labels.begin(), labels.end(), required) != labels.end();
 }
 
 // The ticket for starting a task of the step on a worker; "-" if none is needed, empty if there is no valid
 // one.
-std::string_view dispatcher::ticket_for(const candidate& item, worker_life_id worker, monotonic_time now)
+std::string_view dispatcher::ticket_for(const candidate& item, worker_incarnation_id worker,
+                                        monotonic_time now)
 {
     if (item.queue == nullptr || !item.queue->advised)
     {
@@ -183,10 +185,10 @@
 }
 
 // Workers on which tasks of this step failed are excluded as long as enough others can take it.
-std::set<worker_life_id> dispatcher::failed_before(const candidate& item)
+std::set<worker_incarnation_id> dispatcher::failed_before(const candidate& item)
 {
     const auto& tasks = item.owner->rounds[item.ref.round.value()].steps[item.ref.step].tasks;
-    std::set<worker_life_id> failed;
+    std::set<worker_incarnation_id> failed;
     for (const work_task& task : tasks)
     {
         if (task.failed_on.value() != 0 && task.state() == work_phase::waiting)
@@ -205,17 +207,17 @@
     for (std::size_t place = 0; place < m_hosts.size() && others < need * 2; ++place)
     {
         const host_row& row = m_hosts.at(place);
-        const worker_life_id id = row.worker->id;
+        const worker_incarnation_id id = row.worker->id;
         const auto entry = known.entries.find(id);
         const bool bad = advised && entry != known.entries.end() && !entry->second.good;
         if (!bad && !failed.contains(id) && is_eligible(item, row))
         {
             const bool is_known = !advised || entry != known.entries.end();
             others += (is_known ? 1.0 : m_advice.good_share(item.owner->queue)) *
-                      slots(item, id, row.worker->facts.size);
+                      slots(item, id, row.worker->description.size);
         }
     }
-    return others >= need * 2 ? failed : std::set<worker_life_id>{};
+    return others >= need * 2 ? failed : std::set<worker_incarnation_id>{};
 }
 
 // Sort key of hosts that may be unreachable although no call to them has failed; lower is better. Hosts come
@@ -226,7 +228,7 @@
 {
     constexpr int most = 1000;
     constexpr milliseconds step{100};
-    const auto& labels = row.worker->facts.labels;
+    const auto& labels = row.worker->description.labels;
     const auto rack = labels.empty() ? m_doubted_racks.end() : m_doubted_racks.find(labels.back());
     const bool rack_lost = rack != m_doubted_racks.end() && rack->second > row.view->contact.last_heard();
     const duration unheard = row.view->contact.unheard_for(now);
@@ -243,17 +245,18 @@
     o.worker = row.worker;
     o.room = room_for(item, row, now);
     o.slots = slots(item, row.worker->id, o.room);
-    o.whole =
-        o.room == row.worker->facts.size ? o.slots : slots(item, row.worker->id, row.worker->facts.size);
-    const auto& labels = row.worker->facts.labels;
+    o.whole = o.room == row.worker->description.size
+                  ? o.slots
+                  : slots(item, row.worker->id, row.worker->description.size);
+    const auto& labels = row.worker->description.labels;
     o.near_data = !item.step->preferred_rack.empty() &&
                   std::find(labels.begin(), labels.end(), item.step->preferred_rack) != labels.end();
     o.ticket = ticket_for(item, row.worker->id, now);
     o.speed = row.view->speed;
     o.slow = o.speed < m_settings.slow_below * m_usual_speed;
     o.held = o.room != row.free;
-    o.keeps_large =
-        o.slots == 0 || !uses(mechanism::large_slots) || keeps_large_slots(o.room, room_of(*item.step));
+    o.keeps_large = o.slots == 0 || !uses(mechanism::large_slots) ||
+                    keeps_large_slots(o.room, host_demand_of(*item.step));
     o.watched =
         uses(mechanism::suspects_apart) && m_suspects.watches(row.worker->id, item.ref.submission, now);
     o.doubt = doubt_about(item, row, now);
@@ -265,7 +268,7 @@
 // All workers that are eligible for the step, whether or not they have free capacity now.
 std::vector<dispatcher::offer> dispatcher::find_offers(const candidate& item, monotonic_time now)
 {
-    const std::set<worker_life_id> failed = failed_before(item);
+    const std::set<worker_incarnation_id> failed = failed_before(item);
     std::vector<offer> offers;
     offers.reserve(m_hosts.size());
     for (std::size_t place = 0; place < m_hosts.size(); ++place)
@@ -279,7 +282,7 @@
     return offers;
 }
 
-bool dispatcher::surely_good(const candidate& item, worker_life_id worker)
+bool dispatcher::surely_good(const candidate& item, worker_incarnation_id worker)
 {
     if (item.queue == nullptr || !item.queue->advised)
     {
@@ -298,7 +301,7 @@
         return find_offers(item, now);
     }
     std::vector<offer> offers;
-    const std::set<worker_life_id> failed = failed_before(item);
+    const std::set<worker_incarnation_id> failed = failed_before(item);
     for (const auto& [id, entry] : m_advice.of(item.ref).entries)
     {
         const host_row* row = entry.good && !failed.contains(id) ? m_hosts.find(id) : nullptr;
@@ -349,7 +352,7 @@
         return find_open_offers(item, now);
     }
     std::vector<offer> offers;
-    for (const worker_life_id id : *news)
+    for (const worker_incarnation_id id : *news)
     {
         const host_row* row = surely_good(item, id) ? m_hosts.find(id) : nullptr;
         if (row == nullptr || !is_eligible(item, *row))
@@ -362,7 +365,8 @@
             offers.push_back(o);
         }
     }
-    const std::set<worker_life_id> failed = offers.empty() ? std::set<worker_life_id>{} : failed_before(item);
+    const std::set<worker_incarnation_id> failed =
+        offers.empty() ? std::set<worker_incarnation_id>{} : failed_before(item);
     std::erase_if(offers,
                   [&failed](const offer& o)
                   {
--- a/src/dispatch/dispatcher_preempt.cpp
+++ b/src/dispatch/dispatcher_preempt.cpp
@@ -27,7 +27,7 @@
     const queue_spec* queue = m_state.find_queue(owner->queue);
     const bool lesser = queue != nullptr && item.queue != nullptr && queue->priority > item.queue->priority;
     const double left = m_objectives.expected_ms(owner->queue, *step) * (100.0 - known.percent) / 100.0;
-    return lesser && step->checkpoints && !step->gang && !step->lasting && left > least_left_ms;
+    return lesser && step->checkpoints && !step->gang && !step->long_running && left > least_left_ms;
 }
 
 void dispatcher::preempt_for(const candidate& item, std::uint32_t need, monotonic_time now)
@@ -41,7 +41,7 @@
         return;
     }
     m_preempted[item.ref] = now;
-    const resources room = room_of(*item.step);
+    const resources room = host_demand_of(*item.step);
     std::uint32_t found = 0;
     std::vector<offer> offers = find_good_offers(item, now);
     std::sort(offers.begin(), offers.end(),
--- a/src/dispatch/dispatcher_reports.cpp
+++ b/src/dispatch/dispatcher_reports.cpp
@@ -10,44 +10,45 @@
 void dispatcher::handle_report(const worker_report& report, monotonic_time now,
                                const std::function<void(bool)>& done)
 {
-    const worker_life* known = m_state.find_life(report.facts.life());
-    if (known != nullptr && !known->assumed && known->facts == report.facts)
+    const worker_incarnation* known = m_state.find_incarnation(report.description.incarnation());
+    if (known != nullptr && !known->assumed && known->description == report.description)
     {
         sync_views(now);
         take_known_report(m_views[known->id], report, now);
         record_leaving(*known, report, done);
         return;
     }
-    if (known != nullptr && !known->assumed && report.sequence < known->facts_sequence)
+    if (known != nullptr && !known->assumed && report.sequence < known->description_sequence)
     {
         // The worker's capacity may have changed since: going back to an older one led to overcommitted
         // hosts.
-        log_event(now, "report_not_taken", report.facts.id,
+        log_event(now, "report_not_taken", report.description.id,
                   {{"reason", "older than the last accepted report"}, {"sequence", report.sequence}});
         done(true);
         return;
     }
     if (lacks_birth(report))
     {
-        log_event(now, "report_not_taken", report.facts.id,
-                  {{"reason", "process start time missing"}, {"address", report.facts.address}});
+        log_event(now, "report_not_taken", report.description.id,
+                  {{"reason", "process start time missing"}, {"address", report.description.address}});
         done(false);
         return;
     }
     if (!names_known_pool(report))
     {
-        log_event(
-            now, "report_not_taken", report.facts.id,
-            {{"reason", "unknown pool"}, {"pool", report.facts.pool}, {"address", report.facts.address}});
+        log_event(now, "report_not_taken", report.description.id,
+                  {{"reason", "unknown pool"},
+                   {"pool", report.description.pool},
+                   {"address", report.description.address}});
         done(false); // the worker keeps reporting, so its pool may be configured later
         return;
     }
-    if (!m_joining.insert(report.facts.host).second)
+    if (!m_joining.insert(report.description.host).second)
     {
         done(false); // a report of this host is already in progress; the worker reports again
         return;
     }
-    const worker_life* present = m_state.find_host(report.facts.host);
+    const worker_incarnation* present = m_state.find_host(report.description.host);
     if (known == nullptr && present != nullptr)
     {
         ask_who_lives_there(report, present->id, done);
@@ -61,19 +62,19 @@
 bool dispatcher::lacks_birth(const worker_report& report) const
 {
     const auto& workers = m_state.workers();
-    return report.facts.born == birth_ms{} && !workers.empty() &&
-           workers.begin()->second.facts.born != birth_ms{};
+    return report.description.process_start == process_start_ms{} && !workers.empty() &&
+           workers.begin()->second.description.process_start != process_start_ms{};
 }
 
 // Accepts any pool until there is a cluster configuration, so that workers that report early are known when
 // work arrives.
 bool dispatcher::names_known_pool(const worker_report& report) const
 {
-    const auto& held = m_state.held_catalogue();
+    const auto& held = m_state.current_configuration();
     return !held || std::any_of(held->pools.begin(), held->pools.end(),
                                 [&report](const pool_spec& pool)
                                 {
-                                    return pool.name == report.facts.pool;
+                                    return pool.name == report.description.pool;
                                 });
 }
 
@@ -86,7 +87,7 @@
         if (report.draining != view.draining)
         {
             m_hooks.wake();
-            log_event(now, report.draining ? "worker_draining" : "worker_ready", report.facts.id,
+            log_event(now, report.draining ? "worker_draining" : "worker_ready", report.description.id,
                       {{"from", "report"},
                        {"sequence", report.sequence},
                        {"remaining_ms", report.remaining_ms},
@@ -105,7 +106,7 @@
 // only seconds after its election, as they went to the previous leader. Each report of a leaving worker is
 // recorded with its sequence number, so that the next leader ignores an older, delayed report that says
 // otherwise.
-void dispatcher::record_leaving(const worker_life& known, const worker_report& report,
+void dispatcher::record_leaving(const worker_incarnation& known, const worker_report& report,
                                 const std::function<void(bool)>& done)
 {
     const bool not_leaving = !report.draining && !known.leaving;
@@ -115,13 +116,13 @@
         return;
     }
     m_hooks.propose(mark_leaving{known.id, report.sequence, report.draining},
-                    [this, alive = m_alive, life = known.facts.id, leaving = report.draining,
+                    [this, alive = m_alive, incarnation = known.description.id, leaving = report.draining,
                      sequence = report.sequence, proposed = m_hooks.now(), done](bool committed)
                     {
                         if (*alive)
                         {
                             const monotonic_time now = m_hooks.now();
-                            log_event(now, "leaving_recorded", life,
+                            log_event(now, "leaving_recorded", incarnation,
                                       {{"leaving", leaving},
                                        {"sequence", sequence},
                                        {"committed", committed},
@@ -135,11 +136,12 @@
 // started on the host, so the order of arrival does not tell which is newer. Polls the reported address to
 // find out which incarnation runs there before the work of the known one is given up: otherwise that work ran
 // twice.
-void dispatcher::ask_who_lives_there(const worker_report& report, worker_life_id present,
+void dispatcher::ask_who_lives_there(const worker_report& report, worker_incarnation_id present,
                                      const std::function<void(bool)>& done)
 {
     look_order question;
-    question.to = {worker_life_id{}, report.facts.id, report.facts.born, report.facts.address, m_fence};
+    question.to = {worker_incarnation_id{}, report.description.id, report.description.process_start,
+                   report.description.address, m_fence};
     question.timeout = m_settings.look_patience;
     m_hooks.look(question,
                  [this, alive = m_alive, report, present, done](const look_answer& answer)
@@ -149,23 +151,23 @@
                          done(false);
                          return;
                      }
-                     const worker_life* still = m_state.find_host(report.facts.host);
+                     const worker_incarnation* still = m_state.find_host(report.description.host);
                      const bool unchanged = still == nullptr || still->id == present;
-                     const bool is_running =
-                         answer.outcome == order_outcome::accepted && answer.born == report.facts.born;
+                     const bool is_running = answer.outcome == order_outcome::accepted &&
+                                             answer.process_start == report.description.process_start;
                      if (is_running && unchanged)
                      {
                          admit(report, answer, done);
                          return;
                      }
-                     m_joining.erase(report.facts.host);
-                     log_event(m_hooks.now(), "report_not_taken", report.facts.id,
-                               {{"host", report.facts.host},
-                                {"address", report.facts.address},
+                     m_joining.erase(report.description.host);
+                     log_event(m_hooks.now(), "report_not_taken", report.description.id,
+                               {{"host", report.description.host},
+                                {"address", report.description.address},
                                 {"outcome", static_cast<int>(answer.outcome)},
-                                {"born", report.facts.born.value()},
-                                {"lives", answer.born.value()},
-                                {"present", still == nullptr ? std::string{} : still->facts.id}});
+                                {"born", report.description.process_start.value()},
+                                {"lives", answer.process_start.value()},
+                                {"present", still == nullptr ? std::string{} : still->description.id}});
                      done(false);
                  });
 }
@@ -173,13 +175,14 @@
 void dispatcher::admit(const worker_report& report, const look_answer& answer,
                        const std::function<void(bool)>& done)
 {
-    const worker_life* present = m_state.find_host(report.facts.host);
-    const bool replaces = present != nullptr && present->facts.life() != report.facts.life();
+    const worker_incarnation* present = m_state.find_host(report.description.host);
+    const bool replaces =
+        present != nullptr && present->description.incarnation() != report.description.incarnation();
     worker_view* former = replaces ? view_of(present->id) : nullptr;
-    admit_worker command{report.facts, report.sequence, false, {}};
-    if (former != nullptr && present->facts.id == report.facts.id)
+    admit_worker command{report.description, report.sequence, false, {}};
+    if (former != nullptr && present->description.id == report.description.id)
     {
-        note_restart(*former, report.facts.born, "report", m_hooks.now());
+        note_restart(*former, report.description.process_start, "report", m_hooks.now());
         former->drop_proposed = true;
         command.lost = lost_at_restart(*former, answer, m_hooks.now());
         note_lost_runs(*former, command.lost, m_hooks.now());
@@ -188,7 +191,7 @@
     {
         drop_replaced(*former, m_hooks.now());
     }
-    const worker_life_id before = former == nullptr ? worker_life_id{} : former->id;
+    const worker_incarnation_id before = former == nullptr ? worker_incarnation_id{} : former->id;
     m_hooks.propose(command,
                     [this, alive = m_alive, report, done, before](bool committed)
                     {
@@ -197,30 +200,31 @@
                             done(false);
                             return;
                         }
-                        m_joining.erase(report.facts.host);
-                        look_at_new_life(report.facts.life(), m_hooks.now());
+                        m_joining.erase(report.description.host);
+                        look_at_new_life(report.description.incarnation(), m_hooks.now());
                         if (worker_view* still = view_of(before); still != nullptr && !committed)
                         {
                             still->drop_proposed = false;
                         }
-                        const worker_life* admitted = m_state.find_life(report.facts.life());
-                        if (!committed || admitted == nullptr || admitted->facts != report.facts)
+                        const worker_incarnation* admitted =
+                            m_state.find_incarnation(report.description.incarnation());
+                        if (!committed || admitted == nullptr || admitted->description != report.description)
                         {
                             done(false);
                             return;
                         }
                         const monotonic_time now = m_hooks.now();
-                        log_event(now, "worker_admitted", report.facts.id,
-                                  {{"host", report.facts.host},
-                                   {"hall", report.facts.hall},
-                                   {"born", report.facts.born.value()}});
+                        log_event(now, "worker_admitted", report.description.id,
+                                  {{"host", report.description.host},
+                                   {"hall", report.description.hall},
+                                   {"born", report.description.process_start.value()}});
                         handle_report(report, now, done);
                     });
 }
 
 void dispatcher::take_leave(const std::string& id, const std::function<void(bool)>& done)
 {
-    const worker_life* known = m_state.find_id(id);
+    const worker_incarnation* known = m_state.find_id(id);
     if (known == nullptr)
     {
         done(true);
@@ -230,7 +234,7 @@
     {
         // A delayed notice of a former incarnation, or of one that never reported that it was leaving: the
         // next polls tell.
-        log_event(m_hooks.now(), "leave_not_taken", id, {{"born", known->facts.born.value()}});
+        log_event(m_hooks.now(), "leave_not_taken", id, {{"born", known->description.process_start.value()}});
         done(true);
         return;
     }
--- a/src/dispatch/dispatcher_reserve.cpp
+++ b/src/dispatch/dispatcher_reserve.cpp
@@ -23,7 +23,7 @@
 {
     const submission* owner = m_state.find(run.task.step.submission);
     const step_spec* step = m_state.find(run.task.step);
-    if (owner == nullptr || step == nullptr || step->lasting)
+    if (owner == nullptr || step == nullptr || step->long_running)
     {
         return std::nullopt;
     }
@@ -32,7 +32,7 @@
 
 std::optional<double> dispatcher::time_until_room_on(const candidate& item, const offer& o) const
 {
-    return time_until_room(o.room, forecast_runs(o), room_of(*item.step));
+    return time_until_room(o.room, forecast_runs(o), host_demand_of(*item.step));
 }
 
 std::vector<run_forecast> dispatcher::forecast_runs(const offer& o) const
@@ -78,7 +78,7 @@
 // as smaller tasks take the resources of each run that ends.
 void dispatcher::reserve_hosts(const candidate& item, std::uint32_t left, monotonic_time now)
 {
-    if (!uses(mechanism::reservations) || item.urgent() || item.step->lasting)
+    if (!uses(mechanism::reservations) || item.urgent() || item.step->long_running)
     {
         return;
     }
@@ -118,7 +118,7 @@
     const std::size_t wanted =
         std::min<std::size_t>({left, places.size(), max_hosts - std::min(max_hosts, others)});
     room_hold next;
-    next.each = room_of(*item.step);
+    next.each = host_demand_of(*item.step);
     next.missed = item.missed();
     next.gathers = false;
     next.grew = now;
@@ -143,7 +143,7 @@
                    {"slack_ms", static_cast<std::int64_t>(item.slack_ms)},
                    {"wait_ms", static_cast<std::int64_t>(places.front().wait_ms)}});
     }
-    std::vector<worker_life_id> soon = hosts_soon_free(item, next, now);
+    std::vector<worker_incarnation_id> soon = hosts_soon_free(item, next, now);
     set_hold(item.ref, std::move(next));
     if (may_ask(item, true, now))
     {
@@ -153,15 +153,15 @@
 
 // Reserved hosts on which the task is expected to fit by the time a query about them is answered, and that
 // have no ticket that is still valid then.
-std::vector<worker_life_id> dispatcher::hosts_soon_free(const candidate& item, const room_hold& hold,
-                                                        monotonic_time now)
+std::vector<worker_incarnation_id> dispatcher::hosts_soon_free(const candidate& item, const room_hold& hold,
+                                                               monotonic_time now)
 {
-    std::vector<worker_life_id> soon;
+    std::vector<worker_incarnation_id> soon;
     if (item.queue == nullptr || !item.queue->advised)
     {
         return soon;
     }
-    const advice_terms& terms = item.queue->advice;
+    const advice_settings& terms = item.queue->advice;
     const double question_ms = terms.decision_ms + terms.each_ms;
     const auto lasts = milliseconds(static_cast<std::int64_t>(question_ms)) + m_settings.ticket_margin;
     const step_advice& known = m_advice.of(item.ref);
@@ -187,7 +187,7 @@
         return;
     }
     const step_advice& known = m_advice.of(item.ref);
-    std::vector<worker_life_id> unknown;
+    std::vector<worker_incarnation_id> unknown;
     for (const offer& o : find_offers(item, now))
     {
         const bool large = o.whole > 0 && o.whole <= most_large_per_host;
--- a/src/dispatch/dispatcher_restarts.cpp
+++ b/src/dispatch/dispatcher_restarts.cpp
@@ -9,17 +9,17 @@
 namespace walkthread
 {
 
-void dispatcher::note_restart(const worker_view& former, birth_ms born, std::string_view from,
-                              monotonic_time now)
+void dispatcher::note_restart(const worker_view& former, process_start_ms process_start,
+                              std::string_view from, monotonic_time now)
 {
     ++m_counters.restarted_workers;
-    const worker_life& worker = *m_state.find(former.id);
-    log_event(now, "worker_started_again", worker.facts.id,
+    const worker_incarnation& worker = *m_state.find(former.id);
+    log_event(now, "worker_started_again", worker.description.id,
               {{"from", from},
-               {"born", born.value()},
-               {"former", worker.facts.born.value()},
+               {"born", process_start.value()},
+               {"former", worker.description.process_start.value()},
                {"unheard_ms", now - former.contact.last_heard()},
-               {"ends_seen", worker.listed_up_to},
+               {"ends_seen", worker.ends_recorded_up_to},
                {"runs", worker.occupied.size()},
                {"leaving", worker.leaving}});
 }
@@ -33,12 +33,13 @@
         return;
     }
     view.drop_proposed = true;
-    note_restart(view, answer.born, "look", now);
-    admit_worker command{m_state.find(view.id)->facts, 0, true, lost_at_restart(view, answer, now)};
-    command.facts.born = answer.born;
+    note_restart(view, answer.process_start, "look", now);
+    admit_worker command{m_state.find(view.id)->description, 0, true, lost_at_restart(view, answer, now)};
+    command.description.process_start = answer.process_start;
     note_lost_runs(view, command.lost, now);
     m_hooks.propose(command,
-                    [this, alive = m_alive, former = view.id, life = command.facts.life()](bool committed)
+                    [this, alive = m_alive, former = view.id,
+                     incarnation = command.description.incarnation()](bool committed)
                     {
                         worker_view* still = *alive ? view_of(former) : nullptr;
                         if (still != nullptr && !committed)
@@ -47,17 +48,17 @@
                         }
                         if (*alive)
                         {
-                            look_at_new_life(life, m_hooks.now());
+                            look_at_new_life(incarnation, m_hooks.now());
                             m_hooks.wake();
                         }
                     });
 }
 
 // Polls a new incarnation at once, while the view of the former one still exists to carry state over from.
-void dispatcher::look_at_new_life(const life_ref& life, monotonic_time now)
+void dispatcher::look_at_new_life(const worker_incarnation_ref& incarnation, monotonic_time now)
 {
     sync_views(now);
-    const worker_life* admitted = m_state.find_life(life);
+    const worker_incarnation* admitted = m_state.find_incarnation(incarnation);
     worker_view* view = admitted == nullptr ? nullptr : view_of(admitted->id);
     if (view != nullptr && !view->look_in_flight && !view->answered)
     {
--- a/src/dispatch/dispatcher_sharing.cpp
+++ b/src/dispatch/dispatcher_sharing.cpp
@@ -94,7 +94,7 @@
             continue;
         }
         log_event(now, "run_paced", name_of(run),
-                  {{"worker", m_state.find(view.id)->facts.id},
+                  {{"worker", m_state.find(view.id)->description.id},
                    {"percent", view.filler_pace},
                    {"before", known.pace},
                    {"over_target", view.over_target_since.has_value()}});
--- a/src/dispatch/dispatcher_unheard.cpp
+++ b/src/dispatch/dispatcher_unheard.cpp
@@ -16,10 +16,10 @@
     m_doubted_racks.clear();
     for (const auto& [id, view] : m_views)
     {
-        const worker_life* worker = view.contact.doubted() ? m_state.find(id) : nullptr;
-        if (worker != nullptr && !worker->facts.labels.empty())
+        const worker_incarnation* worker = view.contact.doubted() ? m_state.find(id) : nullptr;
+        if (worker != nullptr && !worker->description.labels.empty())
         {
-            monotonic_time& since = m_doubted_racks[worker->facts.labels.back()];
+            monotonic_time& since = m_doubted_racks[worker->description.labels.back()];
             since = std::max(since, view.contact.doubted_since());
         }
     }
@@ -32,7 +32,7 @@
     m_unheard_runs = 0;
     for (const auto& [id, view] : m_views)
     {
-        const worker_life* worker = m_state.find(id);
+        const worker_incarnation* worker = m_state.find(id);
         const bool unheard = view.contact.unheard_for(now) > m_settings.lease;
         if (!unheard || worker == nullptr || worker->occupied.empty())
         {
@@ -46,9 +46,9 @@
     {
         return;
     }
-    const worker_life& worker = *m_state.find(longest->id);
+    const worker_incarnation& worker = *m_state.find(longest->id);
     const failed_calls& failed = longest->contact.failed();
-    log_event(now, "worker_unheard", worker.facts.id,
+    log_event(now, "worker_unheard", worker.description.id,
               {{"unheard_ms", longest->contact.unheard_for(now)},
                {"kept_as", name_of(why_kept(*longest, m_hearing, now, m_settings))},
                {"runs", worker.occupied.size()},
--- a/src/dispatch/dispatcher_upkeep.cpp
+++ b/src/dispatch/dispatcher_upkeep.cpp
@@ -47,13 +47,14 @@
 // misses too many tasks. That may never change.
 bool dispatcher::blocks_its_turn(const std::string& host, monotonic_time now)
 {
-    const worker_life* life = m_state.find_host(host);
+    const worker_incarnation* incarnation = m_state.find_host(host);
     const auto may_not_end = [this](const auto& item)
     {
         const step_spec* step = m_state.find(item.first.task.step);
-        return step != nullptr && step->lasting && !may_end_lasting(item.first);
+        return step != nullptr && step->long_running && !may_end_lasting(item.first);
     };
-    if (life == nullptr || std::none_of(life->occupied.begin(), life->occupied.end(), may_not_end))
+    if (incarnation == nullptr ||
+        std::none_of(incarnation->occupied.begin(), incarnation->occupied.end(), may_not_end))
     {
         m_upkeep_blocked.erase(host);
         return false;
@@ -64,19 +65,19 @@
 // The hosts to drain now, at most `wave.at_once` down at a time. Hosts with an order in progress go first,
 // then those whose order no longer delays the others, then waiting hosts, and last the waiting hosts that may
 // not be drained.
-std::set<std::string> dispatcher::choose_hosts(const upkeep_wave& wave, monotonic_time now)
+std::set<std::string> dispatcher::choose_hosts(const maintenance_wave& wave, monotonic_time now)
 {
     std::array<std::vector<std::string>, 3> turns;
     std::size_t down = 0;
     for (const auto& [host, phase] : wave.hosts)
     {
-        const auto stage = static_cast<upkeep_phase>(phase);
-        const bool ordered = stage == upkeep_phase::ordered;
+        const auto stage = static_cast<maintenance_phase>(phase);
+        const bool ordered = stage == maintenance_phase::ordered;
         const bool in_flight = m_upkeep_in_flight.contains(host);
-        const bool begun = ordered || in_flight || stage == upkeep_phase::under_way;
+        const bool begun = ordered || in_flight || stage == maintenance_phase::under_way;
         const bool there = begun ? !lost_in_upkeep(host, now) : m_state.find_host(host) != nullptr;
-        down += there && stage == upkeep_phase::under_way ? 1 : 0;
-        if (there && (ordered || stage == upkeep_phase::waiting))
+        down += there && stage == maintenance_phase::under_way ? 1 : 0;
+        if (there && (ordered || stage == maintenance_phase::waiting))
         {
             const bool first = in_flight || (ordered && !m_upkeep_passed.contains(host));
             turns.at(first ? 0 : ordered ? 1 : 2).push_back(host);
@@ -114,25 +115,25 @@
     return chosen;
 }
 
-void dispatcher::advance_wave(const upkeep_wave& wave, monotonic_time now, wall_ms wall)
+void dispatcher::advance_wave(const maintenance_wave& wave, monotonic_time now, wall_ms wall)
 {
     const bool hurry =
         static_cast<double>(wall - wave.asked) > hurry_part * 1000.0 * static_cast<double>(wave.within_s);
     const std::set<std::string> chosen = choose_hosts(wave, now);
     for (const auto& [host, phase] : wave.hosts)
     {
-        const worker_life* life = m_state.find_host(host);
-        if (life != nullptr && phase == static_cast<std::uint8_t>(upkeep_phase::under_way))
+        const worker_incarnation* incarnation = m_state.find_host(host);
+        if (incarnation != nullptr && phase == static_cast<std::uint8_t>(maintenance_phase::under_way))
         {
-            await_return(wave, *life, now);
+            await_return(wave, *incarnation, now);
             continue;
         }
-        if (!chosen.contains(host) || life == nullptr || m_upkeep_in_flight.contains(host))
+        if (!chosen.contains(host) || incarnation == nullptr || m_upkeep_in_flight.contains(host))
         {
             continue;
         }
         m_upkeep_hosts.insert(host);
-        if (!empty_host(*life, now, hurry) || now < m_upkeep_retry[host])
+        if (!empty_host(*incarnation, now, hurry) || now < m_upkeep_retry[host])
         {
             continue;
         }
@@ -153,17 +154,18 @@
                 m_upkeep_taken[host] = m_hooks.now();
                 m_upkeep_passed.erase(host);
                 m_hooks.propose(
-                    advance_upkeep{number, host, static_cast<std::uint8_t>(upkeep_phase::under_way)},
+                    advance_maintenance{number, host,
+                                        static_cast<std::uint8_t>(maintenance_phase::under_way)},
                     [](bool /*committed*/) {}); // a new leader may order it again, which is harmless
             }
         };
         m_hooks.propose(
-            advance_upkeep{wave.wave, host, static_cast<std::uint8_t>(upkeep_phase::ordered)},
+            advance_maintenance{wave.wave, host, static_cast<std::uint8_t>(maintenance_phase::ordered)},
             [this, alive = m_alive, on_order_answer, host = host, number = wave.wave](bool committed)
             {
                 if (*alive && committed)
                 {
-                    m_hooks.order_upkeep(host, number, m_fence, on_order_answer);
+                    m_hooks.order_maintenance(host, number, m_fence, on_order_answer);
                 }
                 else if (*alive)
                 {
@@ -176,9 +178,10 @@
 // The platform answers an order in the same way if the maintenance was done before, and the next incarnation
 // on the host may already be admitted by then. So an incarnation that answers a poll sent well after that
 // answer counts as having returned; otherwise the wave would wait for ever for a return that it missed.
-void dispatcher::await_return(const upkeep_wave& wave, const worker_life& worker, monotonic_time now)
+void dispatcher::await_return(const maintenance_wave& wave, const worker_incarnation& worker,
+                              monotonic_time now)
 {
-    const std::string& host = worker.facts.host;
+    const std::string& host = worker.description.host;
     const auto taken = m_upkeep_taken.find(host);
     const monotonic_time since = taken == m_upkeep_taken.end() ? m_term_start : taken->second;
     const worker_view* view = view_of(worker.id);
@@ -189,21 +192,22 @@
         return;
     }
     m_upkeep_retry[host] = now + order_retry;
-    log_event(now, "upkeep_over", host, {{"wave", wave.wave}, {"worker", worker.facts.id}});
-    m_hooks.propose(advance_upkeep{wave.wave, host, static_cast<std::uint8_t>(upkeep_phase::finished)},
-                    [](bool /*committed*/) {}); // proposed again until the phase changes
+    log_event(now, "upkeep_over", host, {{"wave", wave.wave}, {"worker", worker.description.id}});
+    m_hooks.propose(
+        advance_maintenance{wave.wave, host, static_cast<std::uint8_t>(maintenance_phase::finished)},
+        [](bool /*committed*/) {}); // proposed again until the phase changes
 }
 
 // Stops the runs on a host that move at little cost, and with `force_stop` all others that may be stopped.
 // Returns whether the host is idle.
-bool dispatcher::empty_host(const worker_life& worker, monotonic_time now, bool hurry)
+bool dispatcher::empty_host(const worker_incarnation& worker, monotonic_time now, bool hurry)
 {
     worker_view& view = m_views[worker.id];
     for (const auto& [run, room] : worker.occupied)
     {
         const step_spec* step = m_state.find(run.task.step);
-        const bool moves_well = step != nullptr && (step->lasting || step->checkpoints);
-        const bool missed_too_much = step != nullptr && step->lasting && !may_end_lasting(run);
+        const bool moves_well = step != nullptr && (step->long_running || step->checkpoints);
+        const bool missed_too_much = step != nullptr && step->long_running && !may_end_lasting(run);
         if ((hurry || moves_well) && !missed_too_much)
         {
             send_stop(view, run, now);
--- a/src/dispatch/dispatcher_waiting.cpp
+++ b/src/dispatch/dispatcher_waiting.cpp
@@ -115,7 +115,7 @@
                                    monotonic_time now)
 {
     const step_spec& step = owner.spec.steps[ref.step];
-    const resources need = room_of(step);
+    const resources need = host_demand_of(step);
     const pool_number pool = m_hosts.number_of(owner.pool);
     std::array<std::int64_t, host_reason_names.size()> hosts{};
     std::int64_t without_room = 0;
--- a/src/dispatch/dispatcher_workers.cpp
+++ b/src/dispatch/dispatcher_workers.cpp
@@ -43,14 +43,14 @@
 
 void dispatcher::look_at(worker_view& view, monotonic_time now)
 {
-    const worker_life* worker = m_state.find(view.id);
+    const worker_incarnation* worker = m_state.find(view.id);
     if (worker == nullptr || view.drop_proposed)
     {
         return;
     }
     look_order order;
     order.to = address_of(view.id);
-    order.last_seen = worker->listed_up_to;
+    order.last_seen = worker->ends_recorded_up_to;
     // A worker whose answers are lost may still receive polls. Its lease has to expire at some time, so a
     // poll of an unresponsive worker does not renew it.
     const bool unresponsive = view.contact.unheard_for(now) > m_settings.silent_after();
@@ -88,8 +88,8 @@
     }
 }
 
-void dispatcher::handle_poll_answer(worker_life_id worker, const look_answer& answer, monotonic_time sent,
-                                    monotonic_time now)
+void dispatcher::handle_poll_answer(worker_incarnation_id worker, const look_answer& answer,
+                                    monotonic_time sent, monotonic_time now)
 {
     worker_view* view = view_of(worker);
     if (view == nullptr)
@@ -105,10 +105,10 @@
         drop_replaced(*view, now);
         return;
     }
-    const birth_ms known = m_state.find(worker)->facts.born;
+    const process_start_ms known = m_state.find(worker)->description.process_start;
     // An answer without a process start time does not come from this worker if its reports have one.
-    const bool from_other_process =
-        answer.outcome == order_outcome::accepted && known != birth_ms{} && answer.born == birth_ms{};
+    const bool from_other_process = answer.outcome == order_outcome::accepted &&
+                                    known != process_start_ms{} && answer.process_start == process_start_ms{};
     const bool lost = answer.outcome == order_outcome::unanswered || from_other_process;
     if (!never_left(answer.outcome)) // a poll that was not sent was not lost
     {
@@ -131,7 +131,7 @@
         }
         return;
     }
-    if (answer.born != known)
+    if (answer.process_start != known)
     {
         // If the known incarnation answered after this poll was sent, it is unclear which of them is newer.
         view->look_due = now;
@@ -212,15 +212,15 @@
 void dispatcher::take_ends(worker_view& view, const look_answer& answer, monotonic_time sent,
                            monotonic_time now)
 {
-    const worker_life& worker = *m_state.find(view.id);
+    const worker_incarnation& worker = *m_state.find(view.id);
     record_ends command;
     command.worker = view.id;
     std::set<run_ref> ended;
     std::set<run_ref> absent; // starts recorded by an earlier leader that the worker does not list
     for (const listed_end& end : answer.ended)
     {
-        command.listed_up_to = std::max(command.listed_up_to, end.number);
-        if (end.number > worker.listed_up_to)
+        command.ends_recorded_up_to = std::max(command.ends_recorded_up_to, end.number);
+        if (end.number > worker.ends_recorded_up_to)
         {
             m_unconfirmed.confirm(end.run.task.step.submission);
             judge_end(view, end, now);
@@ -242,8 +242,8 @@
         if (known.inherited || settled_before || stopped_before)
         {
             log_event(now, "run_absent", name_of(run),
-                      {{"worker", worker.facts.id},
-                       {"born", worker.facts.born.value()},
+                      {{"worker", worker.description.id},
+                       {"born", worker.description.process_start.value()},
                        {"inherited", known.inherited},
                        {"restarted", known.carried_over}});
             command.ends.push_back({run, static_cast<std::uint8_t>(run_end::never_began), known.checkpoint});
@@ -348,7 +348,7 @@
     const auto known = view.runs.find(end.run);
     const duration took = known == view.runs.end() ? duration{0} : now - known->second.sent;
     log_event(now, "run_ended", name_of(end.run),
-              {{"worker", m_state.find(view.id)->facts.id},
+              {{"worker", m_state.find(view.id)->description.id},
                {"how", name_of(end.how)},
                {"took_ms", took},
                {"number", end.number}});
@@ -366,7 +366,7 @@
     {
         view.failures_in_row = 0;
         view.next_quarantine = m_settings.quarantine;
-        if (!step.lasting && !known->second.inherited && m_state.find(end.run.task) != nullptr &&
+        if (!step.long_running && !known->second.inherited && m_state.find(end.run.task) != nullptr &&
             m_state.find(end.run.task)->checkpoint.empty())
         {
             const std::int64_t took_ms = std::chrono::duration_cast<milliseconds>(took).count();
@@ -381,14 +381,14 @@
             view.speed += learns ? speed_weight * sound * (seen - view.speed) : 0.0;
         }
     }
-    else if (end.how == run_end::failed && !step.lasting && view.last_failed != owner->id &&
+    else if (end.how == run_end::failed && !step.long_running && view.last_failed != owner->id &&
              uses(mechanism::quarantine))
     {
         view.last_failed = owner->id;
         if (++view.failures_in_row >= m_settings.quarantine_failures)
         {
             view.avoid_until = now + view.next_quarantine;
-            log_event(now, "worker_avoided", m_state.find(view.id)->facts.id,
+            log_event(now, "worker_avoided", m_state.find(view.id)->description.id,
                       {{"reason", "consecutive failures"},
                        {"failures", view.failures_in_row},
                        {"for_ms", duration(view.next_quarantine)}});
--- a/src/dispatch/gang_reservations.cpp
+++ b/src/dispatch/gang_reservations.cpp
@@ -18,7 +18,7 @@
         double rated_ms;
         bool moves;
         double ready_ms;
-        worker_life_id worker;
+        worker_incarnation_id worker;
     };
     std::vector<place> places;
     for (const host_outlook& host : hosts)
--- a/src/dispatch/host_reason.cpp
+++ b/src/dispatch/host_reason.cpp
@@ -3,7 +3,7 @@
 namespace walkthread
 {
 
-host_reason availability_of(const worker_view& view, const worker_life& worker, bool closed,
+host_reason availability_of(const worker_view& view, const worker_incarnation& worker, bool closed,
                             monotonic_time now, const dispatch_settings& settings)
 {
     if (view.drop_proposed)
--- a/src/dispatch/host_table.cpp
+++ b/src/dispatch/host_table.cpp
@@ -29,8 +29,8 @@
         row.worker = &worker;
         row.view = &m_views.at(id);
         const auto next = static_cast<std::uint32_t>(m_pools.size() + 1);
-        row.pool = m_pools.emplace(worker.facts.pool, pool_number{next}).first->second;
-        m_rooms[row.pool] += worker.facts.size;
+        row.pool = m_pools.emplace(worker.description.pool, pool_number{next}).first->second;
+        m_rooms[row.pool] += worker.description.size;
         m_places.emplace(id, m_rows.size());
         m_rows.push_back(row);
     }
@@ -38,11 +38,11 @@
 
 void host_table::work_out(host_row& row) const
 {
-    const worker_life& worker = *row.worker;
+    const worker_incarnation& worker = *row.worker;
     const auto held = m_held.find(worker.id);
-    row.open = worker.facts.size - worker.used - row.view->planned;
+    row.open = worker.description.size - worker.used - row.view->planned;
     row.free = held == m_held.end() ? row.open : row.open - held->second;
-    const bool closed = !m_closed.empty() && m_closed.contains(worker.facts.host);
+    const bool closed = !m_closed.empty() && m_closed.contains(worker.description.host);
     row.reason = availability_of(*row.view, worker, closed, m_now, m_settings);
     row.usable = row.reason == host_reason::usable;
     row.stamp = m_pass;
@@ -58,7 +58,7 @@
     return row;
 }
 
-const host_row* host_table::find(worker_life_id worker)
+const host_row* host_table::find(worker_incarnation_id worker)
 {
     const auto found = m_places.find(worker);
     return found == m_places.end() ? nullptr : &at(found->second);
@@ -70,7 +70,7 @@
     return found == m_pools.end() ? pool_number{} : found->second;
 }
 
-resources host_table::room_of(pool_number pool) const
+resources host_table::host_demand_of(pool_number pool) const
 {
     const auto found = m_rooms.find(pool);
     return found == m_rooms.end() ? resources{} : found->second;
@@ -93,7 +93,7 @@
     return count;
 }
 
-void host_table::invalidate(worker_life_id worker)
+void host_table::invalidate(worker_incarnation_id worker)
 {
     const auto found = m_places.find(worker);
     if (found != m_places.end())
@@ -102,13 +102,13 @@
     }
 }
 
-void host_table::hold(worker_life_id worker, const resources& room)
+void host_table::hold(worker_incarnation_id worker, const resources& room)
 {
     m_held[worker] += room;
     invalidate(worker);
 }
 
-void host_table::release(worker_life_id worker, const resources& room)
+void host_table::release(worker_incarnation_id worker, const resources& room)
 {
     const auto held = m_held.find(worker);
     if (held == m_held.end())
--- a/src/dispatch/lost_runs.cpp
+++ b/src/dispatch/lost_runs.cpp
@@ -25,7 +25,9 @@
 // don't share the blame: if one of them is at fault, the submission is failed as a whole.
 std::uint32_t share_of_each(std::size_t submissions)
 {
-    return submissions == 1 ? blame::sole : submissions == 2 ? blame::one_of_two_submissions : blame::crowd;
+    return submissions == 1   ? blame::only_recent_submission
+           : submissions == 2 ? blame::one_of_two_submissions
+                              : blame::one_of_many;
 }
 } // namespace
 
@@ -63,7 +65,7 @@
         std::uint32_t share = started_recently(known) ? share_of_each(just_begun.size()) : blame::min_share;
         if (just_begun.empty() && view.runs.size() == 1 && known.outcome_known_at)
         {
-            share = blame::crowd;
+            share = blame::one_of_many;
         }
         const bool was_there =
             known.outcome_known_at && lost_at - *known.outcome_known_at <= run_time(run) * surely_at_work;
--- a/src/dispatch/objective.cpp
+++ b/src/dispatch/objective.cpp
@@ -61,7 +61,7 @@
     // Longest chain from each step to the end. Steps depend on earlier ones only, so they are processed in
     // reverse.
     const auto& steps = owner.spec.steps;
-    std::array<double, most_steps> behind{};
+    std::array<double, max_steps> behind{};
     chain_times out;
     for (std::size_t i = steps.size(); i-- > 0;)
     {
--- a/src/dispatch/suspect_watch.cpp
+++ b/src/dispatch/suspect_watch.cpp
@@ -19,8 +19,8 @@
 // such tasks.
 bool suspect_watch::suspects(const task_ref& task) const
 {
-    const suspicion* against = m_crashes.find(task);
-    return against != nullptr && (against->blame >= blame::crowd || against->losses() > 1);
+    const crash_evidence* against = m_crashes.find(task);
+    return against != nullptr && (against->blame >= blame::one_of_many || against->losses() > 1);
 }
 
 void suspect_watch::find_isolated(const workload_state& state)
@@ -38,7 +38,7 @@
     }
 }
 
-void suspect_watch::note_start(worker_life_id worker, submission_id owner, monotonic_time now)
+void suspect_watch::note_start(worker_incarnation_id worker, submission_id owner, monotonic_time now)
 {
     std::erase_if(m_watches,
                   [now](const auto& item)
@@ -64,9 +64,9 @@
 
 bool suspect_watch::in_backoff(const task_ref& task, monotonic_time now) const
 {
-    const suspicion* against = m_crashes.find(task);
+    const crash_evidence* against = m_crashes.find(task);
     const auto lost = m_last_loss.find(task);
-    if (against == nullptr || against->unproven == 0 || lost == m_last_loss.end())
+    if (against == nullptr || against->unconfirmed_losses == 0 || lost == m_last_loss.end())
     {
         return false;
     }
@@ -79,7 +79,7 @@
     return now - lost->second < first_rest * (1U << doublings);
 }
 
-bool suspect_watch::watches(worker_life_id worker, submission_id owner, monotonic_time now) const
+bool suspect_watch::watches(worker_incarnation_id worker, submission_id owner, monotonic_time now) const
 {
     const auto isolated = m_isolated.find(worker);
     if (isolated != m_isolated.end() && isolated->second != owner)
--- a/src/fabric/core_calls.cpp
+++ b/src/fabric/core_calls.cpp
@@ -52,7 +52,7 @@
                   {{"call", call},
                    {"queue", caller.queue == nullptr ? std::string{} : caller.queue->name},
                    {"code", static_cast<std::int32_t>(code)},
-                   {"configuration", m_state.held_catalogue()->version}});
+                   {"configuration", m_state.current_configuration()->version}});
         return refuse(code, std::move(text));
     };
     switch (caller.verdict)
@@ -148,9 +148,9 @@
                {"steps", call.spec.steps.size()},
                {"tasks", call.spec.steps.front().count},
                {"gang", call.spec.steps.front().gang},
-               {"lasting", call.spec.steps.front().lasting},
+               {"lasting", call.spec.steps.front().long_running},
                {"rounds", call.spec.rounds}});
-    propose_and_reply(keep_submission{call.id, queue->name, call.spec, caller.organisation},
+    propose_and_reply(accept_submission{call.id, queue->name, call.spec, caller.organisation},
                       [this, alive = m_alive, name, handler](service_reply reply)
                       {
                           if (*alive && reply.what() != reply_kind::done)
@@ -244,29 +244,29 @@
     if (auto fault = find_fault(call.next))
     {
         log_event("configuration_refused", {}, {{"version", call.next.version}, {"reason", *fault}});
-        handler(refuse(workload_code::bad_catalogue, *fault));
+        handler(refuse(workload_code::bad_configuration, *fault));
         return;
     }
-    const std::uint64_t held = m_state.held_catalogue() ? m_state.held_catalogue()->version : 0;
+    const std::uint64_t held = m_state.current_configuration() ? m_state.current_configuration()->version : 0;
     log_event("configuration_taken", {},
               {{"version", call.next.version}, {"held", held}, {"queues", call.next.queues.size()}});
-    if (m_state.held_catalogue() && call.next.version <= held)
+    if (m_state.current_configuration() && call.next.version <= held)
     {
         handler(make_reply(reply_kind::done));
         return;
     }
-    propose_and_reply(replace_catalogue{call.next}, handler);
+    propose_and_reply(replace_cluster_configuration{call.next}, handler);
 }
 
 void core_node::handle(const get_catalogue_call& /*call*/, const call_handler& handler)
 {
-    if (!m_state.held_catalogue())
+    if (!m_state.current_configuration())
     {
         handler(make_reply(reply_kind::unavailable, "There is no configuration yet."));
         return;
     }
-    service_reply reply = make_reply(reply_kind::done, m_state.held_catalogue()->source);
-    reply.number = m_state.held_catalogue()->version;
+    service_reply reply = make_reply(reply_kind::done, m_state.current_configuration()->source);
+    reply.number = m_state.current_configuration()->version;
     handler(std::move(reply));
 }
 
@@ -332,9 +332,10 @@
     }
     const bool has_leader_contact =
         now - m_replica->group().core().last_leader_contact() < m_times.leader_heard;
-    const worker_life* known = m_state.find_life(call->report.facts.life());
-    const bool new_to_nobody = known != nullptr && !known->assumed && known->facts == call->report.facts &&
-                               !call->report.draining && !known->leaving;
+    const worker_incarnation* known = m_state.find_incarnation(call->report.description.incarnation());
+    const bool new_to_nobody = known != nullptr && !known->assumed &&
+                               known->description == call->report.description && !call->report.draining &&
+                               !known->leaving;
     if (!has_leader_contact || !new_to_nobody)
     {
         return std::nullopt;
@@ -346,7 +347,7 @@
 
 // The address for later reports: a voter other than the leader, chosen by a hash of the incarnation to spread
 // the load.
-std::string core_node::report_address_of_another(const std::string& life, monotonic_time now) const
+std::string core_node::report_address_of_another(const std::string& incarnation, monotonic_time now) const
 {
     const replica& core = m_replica->group().core();
     std::vector<std::string> others;
@@ -360,12 +361,12 @@
     }
     return others.empty() || m_settings.report_address.empty()
                ? m_settings.report_address
-               : others[std::hash<std::string>{}(life) % others.size()];
+               : others[std::hash<std::string>{}(incarnation) % others.size()];
 }
 
 void core_node::handle(const report_call& call, const call_handler& handler)
 {
-    const std::string redirect = report_address_of_another(call.report.facts.id, monotonic_now());
+    const std::string redirect = report_address_of_another(call.report.description.id, monotonic_now());
     m_dispatcher->handle_report(call.report, monotonic_now(),
                                 [handler, redirect](bool counted)
                                 {
@@ -378,7 +379,7 @@
 
 void core_node::handle(const leave_call& call, const call_handler& handler)
 {
-    m_dispatcher->take_leave(call.life,
+    m_dispatcher->take_leave(call.incarnation,
                              [handler](bool committed)
                              {
                                  handler(make_reply(committed ? reply_kind::done : reply_kind::unknown));
--- a/src/fabric/core_node.cpp
+++ b/src/fabric/core_node.cpp
@@ -20,11 +20,11 @@
 constexpr std::size_t most_questions_waiting = 2; // so that a client that becomes idle has the next query
 
 // A replica's identity contains its IPv4 address, so the membership alone gives the addresses of its members.
-replica_id make_replica_id(const std::string& ip, std::uint64_t life)
+replica_id make_replica_id(const std::string& ip, std::uint64_t incarnation)
 {
     const std::uint64_t number = detail::ip_number(ip);
     const auto node = static_cast<std::uint16_t>((number & 0xFFFFU) | 1U);
-    return {node_id{node}, incarnation_id{(number << detail::address_bits) | life}};
+    return {node_id{node}, incarnation_id{(number << detail::address_bits) | incarnation}};
 }
 
 } // namespace
@@ -70,9 +70,9 @@
     const bool founder =
         m_settings.founding && std::find(seeds.begin(), seeds.end(), m_settings.peer_address) != seeds.end();
     std::random_device entropy;
-    const std::uint64_t life = founder ? founding_life : (entropy() | 2U);
+    const std::uint64_t incarnation = founder ? founding_life : (entropy() | 2U);
     folder_identity new_identity;
-    const replica_id self = make_replica_id(ip, life);
+    const replica_id self = make_replica_id(ip, incarnation);
     new_identity.node = self.node;
     new_identity.incarnation = self.incarnation;
     if (founder)
@@ -331,10 +331,11 @@
     {
         leads(monotonic_now()) ? m_outside.pace(order, handler) : handler(no_order);
     };
-    hooks.order_upkeep = [this, no_order](const std::string& host, std::uint64_t wave, std::uint64_t fence,
-                                          const std::function<void(const order_answer&)>& handler)
+    hooks.order_maintenance = [this, no_order](const std::string& host, std::uint64_t wave,
+                                               std::uint64_t fence,
+                                               const std::function<void(const order_answer&)>& handler)
     {
-        leads(monotonic_now()) ? m_outside.order_upkeep(host, wave, fence, handler) : handler(no_order);
+        leads(monotonic_now()) ? m_outside.order_maintenance(host, wave, fence, handler) : handler(no_order);
     };
     hooks.advise = [this](const advice_question& question, bool urgent,
                           const std::function<void(const advice_answer&)>& handler)
--- a/src/node/hall_renewals.cpp
+++ b/src/node/hall_renewals.cpp
@@ -136,13 +136,13 @@
         return;
     }
     const resources& declared = job.spec.values.size;
-    const usage_verdict action =
+    const usage_action action =
         m_leader_state->usage.evaluate(status.run, declared, status.cpu, status.memory, now);
-    if (action == usage_verdict::throttle)
+    if (action == usage_action::throttle)
     {
         m_leader_state->runs_to_throttle.insert(status.run);
     }
-    if (action == usage_verdict::stop && !status.stopping)
+    if (action == usage_action::stop && !status.stopping)
     {
         const auto reason = static_cast<std::uint8_t>(stop_reason::overused);
         propose(stop_runs{{{status.run, reason}}}, [](bool, const hall_result&) {});
--- a/src/observe/losses.cpp
+++ b/src/observe/losses.cpp
@@ -65,17 +65,17 @@
             m_unreadable += text.empty() ? 0 : 1;
             continue;
         }
-        log_line facts;
-        facts.at = line["t"].get<std::int64_t>();
-        facts.process = text_of(line, "process");
-        facts.event = text_of(line, "event");
-        facts.id = text_of(line, "id").substr(0, id_digits);
-        facts.queue = text_of(line, "queue");
-        facts.how = text_of(line, "how");
-        facts.status = number_of(line, "status");
-        facts.slack_ms = number_of(line, "slack_ms");
-        facts.order = line.contains("order") && line["order"] == true;
-        process_line(facts);
+        log_line description;
+        description.at = line["t"].get<std::int64_t>();
+        description.process = text_of(line, "process");
+        description.event = text_of(line, "event");
+        description.id = text_of(line, "id").substr(0, id_digits);
+        description.queue = text_of(line, "queue");
+        description.how = text_of(line, "how");
+        description.status = number_of(line, "status");
+        description.slack_ms = number_of(line, "slack_ms");
+        description.order = line.contains("order") && line["order"] == true;
+        process_line(description);
     }
 }
 
--- a/src/policy/hall_choice.cpp
+++ b/src/policy/hall_choice.cpp
@@ -37,11 +37,11 @@
         out.push_back(
             {hall, is_known(load) ? dominant_share(after, load.capacity) : unknown_fill, is_known(load)});
     }
-    const auto emptier = [](const candidate& a, const candidate& b)
+    const auto less_full = [](const candidate& a, const candidate& b)
     {
         return a.fill_after < b.fill_after;
     };
-    std::stable_sort(out.begin(), out.end(), emptier);
+    std::stable_sort(out.begin(), out.end(), less_full);
     return out;
 }
 
--- a/src/policy/host_pool.cpp
+++ b/src/policy/host_pool.cpp
@@ -11,7 +11,7 @@
 constexpr std::int64_t millicores_per_level = 1000;
 constexpr std::size_t random_probes = 64;
 
-bool more_in_some_way(const resources& now, const resources& before)
+bool grew_in_any_dimension(const resources& now, const resources& before)
 {
     return !fits(now, before);
 }
@@ -47,7 +47,7 @@
     host.size = worker.size;
     host.free = worker.free();
     reindex(found->second);
-    return more_in_some_way(host.free, before);
+    return grew_in_any_dimension(host.free, before);
 }
 
 void host_pool::take(host_slot slot, const resources& amount)
@@ -56,7 +56,7 @@
     reindex(slot);
 }
 
-void host_pool::give_back(host_slot slot, const resources& amount)
+void host_pool::release(host_slot slot, const resources& amount)
 {
     m_hosts[slot].free += amount;
     reindex(slot);
@@ -85,7 +85,7 @@
         node = old.extract(place{present->memory, slot});
         if (old.empty())
         {
-            m_filled[present->accelerators] &= ~(std::uint64_t{1} << present->cpu);
+            m_nonempty_levels[present->accelerators] &= ~(std::uint64_t{1} << present->cpu);
         }
     }
     if (next)
@@ -101,7 +101,7 @@
             node.value() = entry;
             target.insert(std::move(node));
         }
-        m_filled[next->accelerators] |= std::uint64_t{1} << next->cpu;
+        m_nonempty_levels[next->accelerators] |= std::uint64_t{1} << next->cpu;
     }
     present = next;
 }
@@ -114,7 +114,7 @@
 
 bool host_pool::fits_here(host_slot slot, const resources& need)
 {
-    ++m_looked_at;
+    ++m_examined;
     return fits(need, m_hosts[slot].free);
 }
 
@@ -137,7 +137,7 @@
     const bucket_key least = key_of(need);
     for (std::size_t a = least.accelerators; a < accelerator_levels; ++a)
     {
-        std::uint64_t levels = m_filled[a] & (~std::uint64_t{0} << least.cpu);
+        std::uint64_t levels = m_nonempty_levels[a] & (~std::uint64_t{0} << least.cpu);
         while (levels != 0)
         {
             const auto level = static_cast<std::size_t>(std::countr_zero(levels));
--- a/src/policy/scheduler.cpp
+++ b/src/policy/scheduler.cpp
@@ -134,8 +134,8 @@
     m_queue.age(now, m_settings.ageing_step);
     plan_state p{state, now, limit, {}, {}, {}, {}, {}, 0};
     std::vector<cursor> cursors = make_cursors();
-    std::size_t looked_at = 0;
-    while (p.out.placements.size() < limit && looked_at < max_jobs_per_plan)
+    std::size_t examined = 0;
+    while (p.out.placements.size() < limit && examined < max_jobs_per_plan)
     {
         cursor* c = choose(cursors, p);
         if (c == nullptr)
@@ -146,9 +146,9 @@
         const std::size_t before = p.out.placements.size();
         const wait_reason reason = try_job(state.jobs().at(id), p);
         m_queue.find(id)->reason = reason;
-        ++looked_at;
-        const bool goes_on = reason == wait_reason::none && p.out.placements.size() > before;
-        if (!goes_on)
+        ++examined;
+        const bool placed_more = reason == wait_reason::none && p.out.placements.size() > before;
+        if (!placed_more)
         {
             ++c->next;
             advance_to_waiting_job(*c);
@@ -159,7 +159,7 @@
             break;
         }
     }
-    m_counters.jobs_looked_at += looked_at;
+    m_counters.jobs_examined += examined;
     m_counters.placements += p.out.placements.size();
     m_counters.preemptions += p.out.stops.size();
     return std::move(p.out);
@@ -231,7 +231,7 @@
     {
         return wait_reason::quota;
     }
-    const wait_reason reason = place_somehow(job, p);
+    const wait_reason reason = place_job(job, p);
     const bool may_help = reason == wait_reason::no_room || reason == wait_reason::gang_reserved;
     return may_help && preempt_for(job, p) ? wait_reason::preempting : reason;
 }
--- a/src/policy/scheduler_place.cpp
+++ b/src/policy/scheduler_place.cpp
@@ -11,9 +11,9 @@
 
 namespace
 {
-constexpr std::size_t tasks_per_visit = 8;
-constexpr std::size_t racks_per_choice = 8;
-constexpr std::size_t hosts_per_reservation = 256;
+constexpr std::size_t max_tasks_per_job_turn = 8;
+constexpr std::size_t max_racks_per_choice = 8;
+constexpr std::size_t min_hosts_per_reservation = 256;
 constexpr wall_ms reservation_grace = 5'000;
 constexpr wall_ms never = std::numeric_limits<wall_ms>::max();
 template <typename Key>
@@ -23,7 +23,7 @@
     return found == counts.end() ? 0 : found->second;
 }
 
-constexpr std::int64_t overdue_part = 10; ///< overdue runs are assumed to need another tenth of their time
+constexpr std::int64_t overdue_divisor = 10; ///< overdue runs are assumed to need another tenth of their time
 } // namespace
 
 std::int64_t scheduler::predicted_ms(const job_spec& spec, const hall_state& state) const
@@ -56,31 +56,31 @@
 }
 
 // Excludes the hosts on which a job failed from the index while the job is placed.
-std::vector<host_slot> scheduler::shun_failed_hosts(const hall_job& job)
+std::vector<host_slot> scheduler::exclude_failed_hosts(const hall_job& job)
 {
-    std::vector<host_slot> shunned;
+    std::vector<host_slot> excluded;
     for (const worker_id worker : job.failed_on)
     {
         const std::optional<host_slot> slot = m_pool.find(worker);
         if (slot && !m_pool.at(*slot).set_aside)
         {
             m_pool.set_aside(*slot, true);
-            shunned.push_back(*slot);
+            excluded.push_back(*slot);
         }
     }
-    return shunned;
+    return excluded;
 }
 
-wait_reason scheduler::place_somehow(const hall_job& job, plan_state& p)
+wait_reason scheduler::place_job(const hall_job& job, plan_state& p)
 {
-    const std::vector<host_slot> shunned = shun_failed_hosts(job);
+    const std::vector<host_slot> excluded = exclude_failed_hosts(job);
     const bool gang = job.spec.workload() == workload_kind::gang;
-    const wait_reason reason = gang ? place_gang(job, p) : place_singles(job, p);
-    for (const host_slot slot : shunned)
+    const wait_reason reason = gang ? place_gang(job, p) : place_independent_tasks(job, p);
+    for (const host_slot slot : excluded)
     {
         m_pool.set_aside(slot, false);
     }
-    if (!shunned.empty())
+    if (!excluded.empty())
     {
         forget_blocked(); // sizes that did not fit without these hosts may fit now
     }
@@ -91,7 +91,7 @@
 // Batch and services
 // ---------------------------------------------------------------------------------------------------------
 
-wait_reason scheduler::place_singles(const hall_job& job, plan_state& p)
+wait_reason scheduler::place_independent_tasks(const hall_job& job, plan_state& p)
 {
     const bool spread = m_settings.spread_services && job.spec.workload() == workload_kind::service;
     spread_counts counts;
@@ -105,7 +105,8 @@
             ++counts.hosts[*slot];
         }
     }
-    for (std::size_t placed = 0; placed < tasks_per_visit && p.out.placements.size() < p.limit; ++placed)
+    for (std::size_t placed = 0; placed < max_tasks_per_job_turn && p.out.placements.size() < p.limit;
+         ++placed)
     {
         if (!within_grant(job, p))
         {
@@ -157,12 +158,12 @@
     }
     std::optional<host_slot> best;
     std::tuple<std::uint32_t, std::uint32_t, std::int64_t> best_rank;
-    const std::size_t tries = std::min(racks_per_choice, m_pool.racks());
+    const std::size_t tries = std::min(max_racks_per_choice, m_pool.racks());
     for (std::size_t i = 0; i < tries; ++i)
     {
         m_rack_cursor = (m_rack_cursor + 1) % m_pool.racks();
         const std::vector<host_slot>& hosts = m_pool.rack_at(m_rack_cursor);
-        m_pool.count_looks(hosts.size());
+        m_pool.count_examined(hosts.size());
         for (const host_slot slot : hosts)
         {
             const host_view& host = m_pool.at(slot);
@@ -203,7 +204,7 @@
     {
         return std::nullopt;
     }
-    m_pool.count_looks(m_reservation->hosts.size());
+    m_pool.count_examined(m_reservation->hosts.size());
     for (const host_slot slot : m_reservation->hosts)
     {
         if (fits(need, m_pool.at(slot).free))
@@ -240,7 +241,7 @@
             std::for_each(chosen.begin(), chosen.end(),
                           [&](const auto& c)
                           {
-                              m_pool.give_back(c.second, need);
+                              m_pool.release(c.second, need);
                           });
             reserve_for(job, p);
             const bool reserved_for_job = m_reservation && m_reservation->job == job.spec.id;
@@ -274,13 +275,13 @@
     }
     std::vector<std::pair<wall_ms, host_slot>> fit_slots;
     const std::size_t hosts_to_examine =
-        std::min(m_pool.size(), std::max(hosts_per_reservation, std::size_t{4} * job.pending));
+        std::min(m_pool.size(), std::max(min_hosts_per_reservation, std::size_t{4} * job.pending));
     const std::size_t first = m_random() % m_pool.size();
-    m_pool.count_looks(hosts_to_examine);
+    m_pool.count_examined(hosts_to_examine);
     for (std::size_t i = 0; i < hosts_to_examine; ++i)
     {
         const host_slot slot = (first + i) % m_pool.size();
-        for (const wall_ms at : room_times(slot, job.spec.values.size, p))
+        for (const wall_ms at : expected_fit_times(slot, job.spec.values.size, p))
         {
             fit_slots.emplace_back(at, slot);
         }
@@ -303,7 +304,8 @@
 }
 
 // Times at which a host is expected to have free resources for one, two, three ... tasks of a size.
-std::vector<wall_ms> scheduler::room_times(host_slot slot, const resources& need, const plan_state& p) const
+std::vector<wall_ms> scheduler::expected_fit_times(host_slot slot, const resources& need,
+                                                   const plan_state& p) const
 {
     const host_view& host = m_pool.at(slot);
     const worker_record& worker = p.state.workers().at(host.worker);
@@ -352,7 +354,7 @@
     }
     const std::int64_t length = predicted_ms(job.spec, p.state);
     const wall_ms expected = job.tasks[id.index].since + length;
-    return std::max(expected, p.now + length / overdue_part);
+    return std::max(expected, p.now + length / overdue_divisor);
 }
 
 void scheduler::drop_reservation()
--- a/src/policy/scheduler_preempt.cpp
+++ b/src/policy/scheduler_preempt.cpp
@@ -10,11 +10,11 @@
 
 namespace
 {
-constexpr std::size_t hosts_per_preemption = 32;
-constexpr std::uint32_t tasks_per_preemption = 8;
-constexpr wall_ms preemption_pause = 10'000;
-constexpr std::uint32_t tries_per_plan = 4;
-constexpr wall_ms reclaim_pause = 1'000;
+constexpr std::size_t max_hosts_per_preemption = 32;
+constexpr std::uint32_t max_tasks_per_preemption = 8;
+constexpr wall_ms preemption_retry_delay = 10'000;
+constexpr std::uint32_t max_preemption_attempts_per_plan = 4;
+constexpr wall_ms reclaim_retry_delay = 1'000;
 } // namespace
 
 bool scheduler::may_preempt(const hall_job& job, const plan_state& p) const
@@ -49,14 +49,14 @@
         return last_attempt->second.found;
     }
     const bool reclaiming = job.spec.values.urgency < urgent;
-    if (p.preemption_tries >= tries_per_plan || (reclaiming && p.now < m_next_reclaim))
+    if (p.preemption_tries >= max_preemption_attempts_per_plan || (reclaiming && p.now < m_next_reclaim))
     {
         return false;
     }
     ++p.preemption_tries;
     const bool found = find_victims(job, p);
-    m_next_reclaim = reclaiming && !found ? p.now + reclaim_pause : m_next_reclaim;
-    m_preempting[job.spec.id] = {p.now + preemption_pause, found};
+    m_next_reclaim = reclaiming && !found ? p.now + reclaim_retry_delay : m_next_reclaim;
+    m_preempting[job.spec.id] = {p.now + preemption_retry_delay, found};
     return found;
 }
 
@@ -64,14 +64,14 @@
 {
     bool any = false;
     std::set<host_slot> taken;
-    const std::uint32_t wanted = std::min(job.pending, tasks_per_preemption);
+    const std::uint32_t wanted = std::min(job.pending, max_tasks_per_preemption);
     for (std::uint32_t n = 0; n < wanted; ++n)
     {
         std::optional<victim_set> best;
         host_slot best_slot = 0;
         const host_slot first = m_random() % m_pool.size();
-        const std::size_t hosts_to_examine = std::min(hosts_per_preemption, m_pool.size());
-        m_pool.count_looks(hosts_to_examine);
+        const std::size_t hosts_to_examine = std::min(max_hosts_per_preemption, m_pool.size());
+        m_pool.count_examined(hosts_to_examine);
         for (std::size_t i = 0; i < hosts_to_examine; ++i)
         {
             const host_slot slot = (first + i) % m_pool.size();
@@ -90,8 +90,8 @@
         taken.insert(best_slot);
         for (const stop_request& order : best->orders)
         {
-            const hall_job& loser = p.state.jobs().at(order.run.task.job);
-            p.stopped[loser.spec.organisation] += loser.spec.values.size;
+            const hall_job& victim = p.state.jobs().at(order.run.task.job);
+            p.stopped[victim.spec.organisation] += victim.spec.values.size;
             p.out.stops.push_back(order);
         }
     }
@@ -112,8 +112,8 @@
     std::vector<std::pair<std::int64_t, task_id>> candidates;
     for (const task_id& id : worker.tasks)
     {
-        const hall_job& loser = p.state.jobs().at(id.job);
-        const std::int64_t work = (p.now - loser.tasks[id.index].since) * loser.spec.values.size.cpu;
+        const hall_job& victim = p.state.jobs().at(id.job);
+        const std::int64_t work = (p.now - victim.tasks[id.index].since) * victim.spec.values.size.cpu;
         candidates.emplace_back(work, id);
     }
     std::sort(candidates.begin(), candidates.end());
@@ -125,14 +125,14 @@
         {
             break;
         }
-        const hall_job& loser = p.state.jobs().at(id.job);
-        const task_record& task = loser.tasks[id.index];
-        if (!is_victim(loser, task, job, p, already[loser.spec.organisation]))
+        const hall_job& victim = p.state.jobs().at(id.job);
+        const task_record& task = victim.tasks[id.index];
+        if (!is_victim(victim, task, job, p, already[victim.spec.organisation]))
         {
             continue;
         }
-        already[loser.spec.organisation] += loser.spec.values.size;
-        victims.freed += loser.spec.values.size;
+        already[victim.spec.organisation] += victim.spec.values.size;
+        victims.freed += victim.spec.values.size;
         victims.lost_work += work;
         const auto reason = static_cast<std::uint8_t>(stop_reason::preempted);
         victims.orders.push_back(stop_request{run_id{id, task.run}, reason});
@@ -141,21 +141,21 @@
     return enough ? std::optional(std::move(victims)) : std::nullopt;
 }
 
-bool scheduler::is_victim(const hall_job& loser, const task_record& task, const hall_job& job,
+bool scheduler::is_victim(const hall_job& victim, const task_record& task, const hall_job& job,
                           const plan_state& p, const resources& already) const
 {
-    const bool may_stop = loser.spec.repeatable && loser.spec.workload() == workload_kind::batch &&
+    const bool may_stop = victim.spec.repeatable && victim.spec.workload() == workload_kind::batch &&
                           task.state() == task_phase::running && !task.preempted_once;
-    if (!may_stop || loser.spec.values.urgency >= urgent)
+    if (!may_stop || victim.spec.values.urgency >= urgent)
     {
         return false;
     }
-    if (loser.spec.organisation == job.spec.organisation)
+    if (victim.spec.organisation == job.spec.organisation)
     {
         return job.spec.values.urgency >= urgent;
     }
-    const resources left = used_by(loser.spec.organisation, p) - already - loser.spec.values.size;
-    return dominant_share(left, p.state.capacity()) >= guarantee_of(loser.spec.organisation);
+    const resources left = used_by(victim.spec.organisation, p) - already - victim.spec.values.size;
+    return dominant_share(left, p.state.capacity()) >= guarantee_of(victim.spec.organisation);
 }
 
 } // namespace walkthread
--- a/src/replay/replay.cpp
+++ b/src/replay/replay.cpp
@@ -432,7 +432,7 @@
         out.placements = counters.placements;
         out.failed_runs = m_failed_runs;
         out.lost_core_hours = m_lost_core_hours;
-        out.hosts_per_placement = static_cast<double>(m_scheduler.hosts_looked_at()) /
+        out.hosts_per_placement = static_cast<double>(m_scheduler.hosts_examined()) /
                                   static_cast<double>(std::max<std::uint64_t>(counters.placements, 1));
         out.invariant_violation = m_invariant_violation;
         return out;
--- a/src/workload/caller_access.cpp
+++ b/src/workload/caller_access.cpp
@@ -6,7 +6,7 @@
 access_decision decide_access(const workload_state& state, std::string_view host, std::string_view path,
                               std::string_view key)
 {
-    const std::optional<catalogue>& held = state.held_catalogue();
+    const std::optional<cluster_configuration>& held = state.current_configuration();
     if (!held)
     {
         return {access_verdict::no_configuration, nullptr, {}};
@@ -16,7 +16,7 @@
     {
         return {access_verdict::no_queue, nullptr, {}};
     }
-    if (!held->guarded)
+    if (!held->keys_required)
     {
         return {access_verdict::allowed, queue, {}};
     }
--- a/src/workload/catalogue.cpp
+++ b/src/workload/catalogue.cpp
@@ -35,7 +35,7 @@
 }
 } // namespace
 
-std::optional<std::string> find_fault(const catalogue& candidate)
+std::optional<std::string> find_fault(const cluster_configuration& candidate)
 {
     std::set<std::string> pools;
     for (const pool_spec& pool : candidate.pools)
@@ -65,7 +65,7 @@
     return find_fault(candidate.organisations);
 }
 
-const queue_spec* find_queue(const catalogue& held, std::string_view host, std::string_view path)
+const queue_spec* find_queue(const cluster_configuration& held, std::string_view host, std::string_view path)
 {
     const queue_spec* best = nullptr;
     for (const queue_spec& queue : held.queues)
@@ -79,7 +79,7 @@
     return best;
 }
 
-const queue_spec* find_queue_by_name(const catalogue& held, std::string_view name)
+const queue_spec* find_queue_by_name(const cluster_configuration& held, std::string_view name)
 {
     const auto found = std::find_if(held.queues.begin(), held.queues.end(),
                                     [name](const queue_spec& queue)
--- a/src/workload/organisation.cpp
+++ b/src/workload/organisation.cpp
@@ -12,17 +12,18 @@
 
 namespace
 {
-using key_holders = std::map<std::string_view, std::string_view>; // organisation names by API key
+using organisations_by_key = std::map<std::string_view, std::string_view>; // organisation names by API key
 
-std::optional<std::string> find_key_fault(const organisation_spec& organisation, key_holders& holders)
+std::optional<std::string> find_key_fault(const organisation_spec& organisation,
+                                          organisations_by_key& holders)
 {
     for (std::size_t i = 0; i < organisation.keys.size(); ++i)
     {
         const std::string& key = organisation.keys[i];
         const std::string name = "Key " + std::to_string(i) + " of organisation " + organisation.name;
-        if (key.empty() || key.size() > longest_key)
+        if (key.empty() || key.size() > max_key_bytes)
         {
-            return name + " is empty or longer than " + std::to_string(longest_key) + " bytes.";
+            return name + " is empty or longer than " + std::to_string(max_key_bytes) + " bytes.";
         }
         const auto [holder, fresh] = holders.emplace(key, organisation.name);
         if (!fresh)
@@ -37,7 +38,7 @@
 std::optional<std::string> find_fault(const std::vector<organisation_spec>& organisations)
 {
     std::set<std::string_view> names;
-    key_holders holders;
+    organisations_by_key holders;
     for (const organisation_spec& organisation : organisations)
     {
         if (organisation.name.empty() || !names.insert(organisation.name).second)
@@ -45,7 +46,7 @@
             return "Organisation \"" + organisation.name + "\" has an empty or duplicate name.";
         }
         const double weight = organisation.weight;
-        if (!std::isfinite(weight) || weight < 0 || weight > largest_weight)
+        if (!std::isfinite(weight) || weight < 0 || weight > max_weight)
         {
             return "Organisation " + organisation.name + " has a weight out of range.";
         }
@@ -62,7 +63,7 @@
     return std::nullopt;
 }
 
-bool same_secret(std::string_view a, std::string_view b)
+bool equal_in_constant_time(std::string_view a, std::string_view b)
 {
     if (a.size() != b.size())
     {
@@ -77,29 +78,29 @@
     return difference == 0;
 }
 
-key_ring::key_ring(const std::vector<organisation_spec>& organisations)
+api_key_index::api_key_index(const std::vector<organisation_spec>& organisations)
 {
     for (const organisation_spec& organisation : organisations)
     {
         for (const std::string& key : organisation.keys)
         {
-            m_by_hash.emplace(std::hash<std::string_view>{}(key), held_key{key, organisation.name});
+            m_by_hash.emplace(std::hash<std::string_view>{}(key), indexed_key{key, organisation.name});
         }
     }
 }
 
-const std::string* key_ring::find(std::string_view key) const
+const std::string* api_key_index::find(std::string_view key) const
 {
     const std::string* found = nullptr;
     const auto [first, last] = m_by_hash.equal_range(std::hash<std::string_view>{}(key));
     for (auto at = first; at != last; ++at)
     {
-        found = same_secret(at->second.key, key) ? &at->second.organisation : found;
+        found = equal_in_constant_time(at->second.key, key) ? &at->second.organisation : found;
     }
     return found;
 }
 
-std::uint32_t places_within(const resources& limit, const resources& used, const resources& each)
+std::uint32_t tasks_within_limit(const resources& limit, const resources& used, const resources& each)
 {
     std::int64_t places = std::numeric_limits<std::uint32_t>::max();
     const auto bound = [&places](std::int64_t most, std::int64_t taken, std::int64_t need)
@@ -115,7 +116,7 @@
     return static_cast<std::uint32_t>(places);
 }
 
-void quota_book::set_limits(const std::vector<organisation_spec>& organisations)
+void quota_usage::set_limits(const std::vector<organisation_spec>& organisations)
 {
     std::erase_if(m_limits,
                   [this](const auto& item)
@@ -128,7 +129,7 @@
     }
 }
 
-void quota_book::take(const std::string& organisation, const resources& room)
+void quota_usage::take(const std::string& organisation, const resources& room)
 {
     if (!organisation.empty())
     {
@@ -136,7 +137,7 @@
     }
 }
 
-void quota_book::give_back(const std::string& organisation, const resources& room)
+void quota_usage::release(const std::string& organisation, const resources& room)
 {
     const auto found = m_used.find(organisation);
     if (found != m_used.end())
@@ -149,19 +150,19 @@
     }
 }
 
-std::uint32_t quota_book::places(const std::string& organisation, const resources& each,
-                                 const resources& planned) const
+std::uint32_t quota_usage::places(const std::string& organisation, const resources& each,
+                                  const resources& planned) const
 {
-    return places_within(limit(organisation), used(organisation) + planned, each);
+    return tasks_within_limit(limit(organisation), used(organisation) + planned, each);
 }
 
-resources quota_book::used(const std::string& organisation) const
+resources quota_usage::used(const std::string& organisation) const
 {
     const auto found = m_used.find(organisation);
     return found == m_used.end() ? resources{} : found->second;
 }
 
-resources quota_book::limit(const std::string& organisation) const
+resources quota_usage::limit(const std::string& organisation) const
 {
     const auto found = m_limits.find(organisation);
     return found == m_limits.end() ? resources{} : found->second;
--- a/src/workload/workload_indexes.cpp
+++ b/src/workload/workload_indexes.cpp
@@ -70,13 +70,13 @@
     }
 }
 
-void workload_state::index_catalogue()
+void workload_state::index_configuration()
 {
-    m_keys = m_catalogue ? key_ring(m_catalogue->organisations) : key_ring{};
-    m_queue_places.clear();
-    for (std::size_t place = 0; m_catalogue && place < m_catalogue->queues.size(); ++place)
+    m_keys = m_configuration ? api_key_index(m_configuration->organisations) : api_key_index{};
+    m_queue_positions.clear();
+    for (std::size_t place = 0; m_configuration && place < m_configuration->queues.size(); ++place)
     {
-        m_queue_places.emplace(m_catalogue->queues[place].name, place);
+        m_queue_positions.emplace(m_configuration->queues[place].name, place);
     }
 }
 
@@ -99,10 +99,10 @@
 
 void workload_state::rebuild_indexes()
 {
-    index_catalogue();
+    index_configuration();
     index_usage();
     ++m_workers_version;
-    m_by_life.clear();
+    m_by_incarnation.clear();
     m_by_host.clear();
     m_ready.clear();
     m_closing.clear();
@@ -110,8 +110,8 @@
     m_queued.clear();
     for (const auto& [id, worker] : m_workers)
     {
-        m_by_life[worker.facts.life()] = id;
-        m_by_host[worker.facts.host] = id;
+        m_by_incarnation[worker.description.incarnation()] = id;
+        m_by_host[worker.description.host] = id;
     }
     for (const auto& [id, owner] : m_submissions)
     {
@@ -138,10 +138,10 @@
 std::string workload_state::save() const
 {
     snapshot_content out;
-    out.held = m_catalogue;
-    out.next_worker = m_next_worker;
+    out.held = m_configuration;
+    out.next_worker = m_next_incarnation;
     out.former = m_former;
-    out.unheard = m_unheard;
+    out.unheard = m_unresponsive;
     out.crashes = m_crashes;
     out.quotas = m_quotas;
     for (const auto& [id, owner] : m_submissions)
@@ -167,14 +167,14 @@
         return false;
     }
     snapshot_content& in = value_of(decoded);
-    m_catalogue = std::move(in.held);
-    m_next_worker = in.next_worker;
+    m_configuration = std::move(in.held);
+    m_next_incarnation = in.next_worker;
     m_former = std::move(in.former);
     for (std::string& id : in.former_ids)
     {
-        m_former.push_back({std::move(id), birth_ms{}});
+        m_former.push_back({std::move(id), process_start_ms{}});
     }
-    m_unheard = std::move(in.unheard);
+    m_unresponsive = std::move(in.unheard);
     m_crashes = std::move(in.crashes);
     m_quotas = std::move(in.quotas);
     m_submissions.clear();
@@ -185,12 +185,12 @@
         const submission_id id = owner.id;
         m_submissions.emplace(id, std::move(owner));
     }
-    for (worker_life& worker : in.workers)
+    for (worker_incarnation& worker : in.workers)
     {
-        const worker_life_id id = worker.id;
+        const worker_incarnation_id id = worker.id;
         m_workers.emplace(id, std::move(worker));
     }
-    for (upkeep_wave& wave : in.waves)
+    for (maintenance_wave& wave : in.waves)
     {
         const std::uint64_t number = wave.wave;
         m_waves.emplace(number, std::move(wave));
--- a/src/workload/workload_lives.cpp
+++ b/src/workload/workload_lives.cpp
@@ -10,85 +10,85 @@
 namespace
 {
 // Late reports arrive within seconds, and a mass restart concerns hundreds of workers.
-constexpr std::size_t max_former_lives = 1000;
+constexpr std::size_t max_former_incarnations = 1000;
 } // namespace
 
 workload_result workload_state::handle(wall_ms at, const admit_worker& command)
 {
-    const life_ref life = command.facts.life();
-    const auto known = m_by_life.find(life);
-    if (known != m_by_life.end())
+    const worker_incarnation_ref incarnation = command.description.incarnation();
+    const auto known = m_by_incarnation.find(incarnation);
+    if (known != m_by_incarnation.end())
     {
-        worker_life& present = m_workers[known->second];
-        if (!command.assumed && (present.assumed || command.sequence >= present.facts_sequence))
+        worker_incarnation& present = m_workers[known->second];
+        if (!command.assumed && (present.assumed || command.sequence >= present.description_sequence))
         {
-            present.facts = command.facts;
-            present.facts_sequence = command.sequence;
+            present.description = command.description;
+            present.description_sequence = command.sequence;
             present.assumed = false;
             ++m_workers_version;
         }
         return {};
     }
-    if (std::find(m_former.begin(), m_former.end(), life) != m_former.end())
+    if (std::find(m_former.begin(), m_former.end(), incarnation) != m_former.end())
     {
-        return {static_cast<std::int32_t>(workload_code::former_worker),
+        return {static_cast<std::int32_t>(workload_code::former_incarnation),
                 "This incarnation of the worker has ended."};
     }
-    const std::string& host = command.facts.host;
-    std::vector<lost_run> crashed = m_crashes.take_crashed(host, life);
+    const std::string& host = command.description.host;
+    std::vector<lost_run> crashed = m_crashes.resolve_unresponsive(host, incarnation);
     const auto before = m_by_host.find(host);
-    const worker_life_id former = before == m_by_host.end() ? worker_life_id{} : before->second;
-    if (former != worker_life_id{} && m_workers[former].facts.id == life.id)
+    const worker_incarnation_id former = before == m_by_host.end() ? worker_incarnation_id{} : before->second;
+    if (former != worker_incarnation_id{} && m_workers[former].description.id == incarnation.id)
     {
         transfer_runs(at, command, former);
     }
     else
     {
-        if (former != worker_life_id{})
+        if (former != worker_incarnation_id{})
         {
             for (const auto& [run, room] :
                  m_workers[former].leaving ? std::map<run_ref, resources>{} : m_workers[former].occupied)
             {
                 crashed.push_back({run, false, blame::min_share, {}, false});
             }
-            retire(m_workers[former].facts.life());
+            mark_former(m_workers[former].description.incarnation());
             drop(at, former, {});
         }
-        number_life(command);
+        add_incarnation(command);
     }
-    if (!in_upkeep(host))
+    if (!in_maintenance(host))
     {
-        accuse(at, host, crashed);
+        add_crash_evidence(at, host, crashed);
     }
-    finish_upkeep(host);
+    finish_maintenance(host);
     ++m_workers_version;
     return {};
 }
 
-void workload_state::number_life(const admit_worker& command)
+void workload_state::add_incarnation(const admit_worker& command)
 {
-    const worker_life_id id{m_next_worker++};
-    worker_life& worker = m_workers[id];
+    const worker_incarnation_id id{m_next_incarnation++};
+    worker_incarnation& worker = m_workers[id];
     worker.id = id;
-    worker.facts = command.facts;
-    worker.facts_sequence = command.sequence;
+    worker.description = command.description;
+    worker.description_sequence = command.sequence;
     worker.assumed = command.assumed;
-    recall_unheard(worker);
-    m_by_life[command.facts.life()] = id;
-    m_by_host[command.facts.host] = id;
+    restore_leaving_state(worker);
+    m_by_incarnation[command.description.incarnation()] = id;
+    m_by_host[command.description.host] = id;
 }
 
 // The new incarnation may have executed an order that was meant for the former one with the same id. A task
 // that is restarted elsewhere immediately could then run twice, so each run stays assigned to this worker
 // until the new incarnation is known not to have it.
-void workload_state::transfer_runs(wall_ms at, const admit_worker& command, worker_life_id former)
+void workload_state::transfer_runs(wall_ms at, const admit_worker& command, worker_incarnation_id former)
 {
-    const worker_life before = m_workers[former];
-    retire(before.facts.life());
-    m_by_life.erase(before.facts.life());
+    const worker_incarnation before = m_workers[former];
+    mark_former(before.description.incarnation());
+    m_by_incarnation.erase(before.description.incarnation());
     m_workers.erase(former);
-    number_life(command);
-    worker_life& worker = m_workers[m_by_host[command.facts.host]];
+    add_incarnation(command);
+    worker_incarnation& worker = m_workers[m_by_host[command.description.host]];
     worker.follows = former;
     worker.occupied = before.occupied;
     worker.used = before.used;
@@ -106,67 +106,70 @@
                   {
                       return before.leaving || !before.occupied.contains(item.run);
                   });
-    if (!in_upkeep(command.facts.host))
+    if (!in_maintenance(command.description.host))
     {
-        accuse(at, command.facts.host, lost);
+        add_crash_evidence(at, command.description.host, lost);
     }
 }
 
-void workload_state::retire(const life_ref& life)
+void workload_state::mark_former(const worker_incarnation_ref& incarnation)
 {
-    m_former.push_back(life);
-    if (m_former.size() > max_former_lives)
+    m_former.push_back(incarnation);
+    if (m_former.size() > max_former_incarnations)
     {
         m_former.erase(m_former.begin());
     }
 }
 
-void workload_state::remember_unheard(const worker_life& worker)
+void workload_state::save_leaving_state(const worker_incarnation& worker)
 {
     if (worker.leaving_sequence == 0)
     {
         return; // it never announced that it leaves
     }
-    m_unheard.push_back({worker.facts.id, worker.leaving_sequence, worker.leaving, worker.facts.born});
-    if (m_unheard.size() > max_former_lives)
+    m_unresponsive.push_back(
+        {worker.description.id, worker.leaving_sequence, worker.leaving, worker.description.process_start});
+    if (m_unresponsive.size() > max_former_incarnations)
     {
-        m_unheard.erase(m_unheard.begin());
+        m_unresponsive.erase(m_unresponsive.begin());
     }
 }
 
 // The report that adds an incarnation again may be older than the acknowledged one that announced its
 // leaving. Without the stored leaving state, the worker would get new work until its next report.
-void workload_state::recall_unheard(worker_life& worker)
+void workload_state::restore_leaving_state(worker_incarnation& worker)
 {
-    const auto found = std::find_if(m_unheard.begin(), m_unheard.end(),
-                                    [&worker](const unheard_life& item)
-                                    {
-                                        return life_ref{item.id, item.born} == worker.facts.life();
-                                    });
-    if (found != m_unheard.end())
+    const auto found = std::find_if(
+        m_unresponsive.begin(), m_unresponsive.end(),
+        [&worker](const unresponsive_incarnation& item)
+        {
+            return worker_incarnation_ref{item.id, item.process_start} == worker.description.incarnation();
+        });
+    if (found != m_unresponsive.end())
     {
         worker.leaving = found->leaving;
         worker.leaving_sequence = found->leaving_sequence;
-        m_unheard.erase(found);
+        m_unresponsive.erase(found);
     }
 }
 
 // A new incarnation after the platform accepted the order means that the host's maintenance has finished.
-void workload_state::finish_upkeep(const std::string& host)
+void workload_state::finish_maintenance(const std::string& host)
 {
     for (auto& [number, wave] : m_waves)
     {
         const auto found = wave.hosts.find(host);
-        if (found != wave.hosts.end() && found->second == static_cast<std::uint8_t>(upkeep_phase::under_way))
+        if (found != wave.hosts.end() &&
+            found->second == static_cast<std::uint8_t>(maintenance_phase::under_way))
         {
-            found->second = static_cast<std::uint8_t>(upkeep_phase::finished);
+            found->second = static_cast<std::uint8_t>(maintenance_phase::finished);
         }
     }
 }
 
 workload_result workload_state::handle(wall_ms at, const drop_worker& command)
 {
-    const worker_life* worker = find(command.worker);
+    const worker_incarnation* worker = find(command.worker);
     if (worker == nullptr)
     {
         return {};
@@ -178,20 +181,20 @@
                       return worker->leaving || !worker->occupied.contains(item.run) ||
                              !may_be_given_up(item.run);
                   });
-    const std::string host = worker->facts.host;
+    const std::string host = worker->description.host;
     if (command.for_good)
     {
-        retire(worker->facts.life());
+        mark_former(worker->description.incarnation());
     }
     else
     {
-        remember_unheard(*worker);
-        m_crashes.note_unheard(host, worker->facts.life(), lost);
+        save_leaving_state(*worker);
+        m_crashes.note_unresponsive(host, worker->description.incarnation(), lost);
     }
     drop(at, command.worker, command.lost);
-    if (command.for_good && !in_upkeep(host))
+    if (command.for_good && !in_maintenance(host))
     {
-        accuse(at, host, lost);
+        add_crash_evidence(at, host, lost);
     }
     return {};
 }
@@ -207,12 +210,12 @@
     return {};
 }
 
-workload_result workload_state::handle(wall_ms /*at*/, const note_last_word& command)
+workload_result workload_state::handle(wall_ms /*at*/, const record_last_known_runs& command)
 {
     const auto found = m_workers.find(command.worker);
     if (found != m_workers.end())
     {
-        found->second.last_word = command.runs;
+        found->second.last_known_runs = command.runs;
     }
     return {};
 }
