--- a/src/workload/workload_runs.cpp
+++ b/src/workload/workload_runs.cpp
@@ -11,7 +11,7 @@
 {
     const submission* owner = find(planned.task.step.submission);
     const work_task* task = find(planned.task);
-    const worker_life* worker = find(planned.worker);
+    const worker_incarnation* worker = find(planned.worker);
     if (owner == nullptr || task == nullptr || worker == nullptr || owner->final())
     {
         return false;
@@ -22,13 +22,13 @@
         return false;
     }
     const step_spec& step = owner->spec.steps[planned.task.step.step];
-    const resources room = room_of(step);
+    const resources room = host_demand_of(step);
     if (m_quotas.places(owner->organisation, step.size) == 0)
     {
         return false;
     }
     const bool fresh = task->state() == work_phase::waiting && planned.run > task->run;
-    return fresh && fits(worker->used + room, worker->facts.size);
+    return fresh && fits(worker->used + room, worker->description.size);
 }
 
 bool workload_state::start(const planned_start& planned)
@@ -43,8 +43,8 @@
     task.run = planned.run;
     task.worker = planned.worker;
     ++owner.active;
-    worker_life& worker = m_workers[planned.worker];
-    const resources room = room_of(owner.spec.steps[planned.task.step.step]);
+    worker_incarnation& worker = m_workers[planned.worker];
+    const resources room = host_demand_of(owner.spec.steps[planned.task.step.step]);
     worker.occupied.emplace(run_ref{planned.task, planned.run}, room);
     worker.used += room;
     m_quotas.take(owner.organisation, owner.spec.steps[planned.task.step.step].size);
@@ -64,17 +64,17 @@
     {
         return;
     }
-    std::map<worker_life_id, resources> sums;
+    std::map<worker_incarnation_id, resources> sums;
     for (const planned_start& planned : command.starts)
     {
-        const worker_life* worker = find(planned.worker);
+        const worker_incarnation* worker = find(planned.worker);
         if (!can_start(planned) || worker == nullptr)
         {
             return;
         }
         resources& sum = sums[planned.worker];
-        sum += room_of(step);
-        if (!fits(worker->used + sum, worker->facts.size))
+        sum += host_demand_of(step);
+        if (!fits(worker->used + sum, worker->description.size))
         {
             return;
         }
@@ -85,7 +85,7 @@
     }
 }
 
-void workload_state::release(worker_life& worker, const run_ref& run)
+void workload_state::release(worker_incarnation& worker, const run_ref& run)
 {
     const auto held = worker.occupied.find(run);
     if (held == worker.occupied.end())
@@ -101,7 +101,7 @@
     }
     if (const step_spec* step = find(run.task.step); step != nullptr)
     {
-        m_quotas.give_back(owner->second.organisation, step->size);
+        m_quotas.release(owner->second.organisation, step->size);
     }
     --owner->second.active;
     if (owner->second.active == 0 && owner->second.final())
@@ -118,7 +118,7 @@
     owner.rounds = {};
 }
 
-void workload_state::apply_end(wall_ms at, worker_life& worker, const observed_end& end)
+void workload_state::apply_end(wall_ms at, worker_incarnation& worker, const observed_end& end)
 {
     const auto how = static_cast<run_end>(end.how);
     const bool known = worker.occupied.contains(end.run);
@@ -139,7 +139,7 @@
     {
         return;
     }
-    if (how == run_end::completed && step.gang && !step.lasting)
+    if (how == run_end::completed && step.gang && !step.long_running)
     {
         complete_gang(at, owner, end.run);
         return;
@@ -150,7 +150,7 @@
     }
     task->phase = static_cast<std::uint8_t>(work_phase::waiting);
     task->last_end = end.how;
-    if (how == run_end::completed && !step.lasting)
+    if (how == run_end::completed && !step.long_running)
     {
         complete_task(at, owner, end.run.task);
     }
@@ -214,7 +214,8 @@
     }
 }
 
-void workload_state::fail_task(wall_ms at, submission& owner, const run_ref& run, worker_life_id worker)
+void workload_state::fail_task(wall_ms at, submission& owner, const run_ref& run,
+                               worker_incarnation_id worker)
 {
     const step_ref step = run.task.step;
     const step_spec& spec = owner.spec.steps[step.step];
@@ -228,13 +229,13 @@
         ++progress.gang_failures;
     }
     const std::uint32_t failures = spec.gang ? progress.gang_failures : task.failures;
-    if (!spec.lasting && failures >= owner.max_attempts)
+    if (!spec.long_running && failures >= owner.max_attempts)
     {
         finish(at, owner, submission_phase::failed);
     }
 }
 
-void workload_state::drop(wall_ms at, worker_life_id id, const std::vector<lost_run>& lost)
+void workload_state::drop(wall_ms at, worker_incarnation_id id, const std::vector<lost_run>& lost)
 {
     const auto found = m_workers.find(id);
     if (found == m_workers.end())
@@ -253,8 +254,8 @@
         apply_end(at, found->second,
                   observed_end{run, static_cast<std::uint8_t>(run_end::lapsed), checkpoints[run]});
     }
-    m_by_life.erase(found->second.facts.life());
-    const auto by_host = m_by_host.find(found->second.facts.host);
+    m_by_incarnation.erase(found->second.description.incarnation());
+    const auto by_host = m_by_host.find(found->second.description.host);
     if (by_host != m_by_host.end() && by_host->second == id)
     {
         m_by_host.erase(by_host);
@@ -268,17 +269,18 @@
     const submission* owner = find(run.task.step.submission);
     const step_spec* step = find(run.task.step);
     const work_task* task = find(run.task);
-    return owner != nullptr && !owner->final() && step != nullptr && !step->lasting && task != nullptr &&
+    return owner != nullptr && !owner->final() && step != nullptr && !step->long_running && task != nullptr &&
            task->state() != work_phase::completed;
 }
 
 // A run that ended because its host crashed is restarted like any lapsed run, but not indefinitely: a task
 // that crashes every host it runs on would take down one host after the other.
-void workload_state::accuse(wall_ms at, const std::string& host, const std::vector<lost_run>& lost)
+void workload_state::add_crash_evidence(wall_ms at, const std::string& host,
+                                        const std::vector<lost_run>& lost)
 {
     for (const lost_run& item : lost)
     {
-        if (may_be_given_up(item.run) && m_crashes.accuse(item, host))
+        if (may_be_given_up(item.run) && m_crashes.add_crash_evidence(item, host))
         {
             finish(at, m_submissions.at(item.run.task.step.submission), submission_phase::failed);
         }
@@ -286,15 +288,15 @@
 }
 
 // Maintenance ends all runs on a host on purpose, so their loss is not crash evidence.
-bool workload_state::in_upkeep(const std::string& host) const
+bool workload_state::in_maintenance(const std::string& host) const
 {
     return std::any_of(m_waves.begin(), m_waves.end(),
                        [&host](const auto& item)
                        {
                            const auto found = item.second.hosts.find(host);
                            return found != item.second.hosts.end() &&
-                                  (found->second == static_cast<std::uint8_t>(upkeep_phase::ordered) ||
-                                   found->second == static_cast<std::uint8_t>(upkeep_phase::under_way));
+                                  (found->second == static_cast<std::uint8_t>(maintenance_phase::ordered) ||
+                                   found->second == static_cast<std::uint8_t>(maintenance_phase::under_way));
                        });
 }
 
--- a/src/workload/workload_state.cpp
+++ b/src/workload/workload_state.cpp
@@ -18,7 +18,7 @@
 }
 } // namespace
 
-resources room_of(const step_spec& step)
+resources host_demand_of(const step_spec& step)
 {
     resources room = step.size;
     room.slots = 0;
@@ -29,20 +29,20 @@
     return room;
 }
 
-bool upkeep_wave::complete() const
+bool maintenance_wave::complete() const
 {
     return std::all_of(hosts.begin(), hosts.end(),
                        [](const auto& item)
                        {
-                           return item.second == static_cast<std::uint8_t>(upkeep_phase::finished);
+                           return item.second == static_cast<std::uint8_t>(maintenance_phase::finished);
                        });
 }
 
 std::string find_fault(const submission_spec& spec)
 {
-    if (spec.steps.empty() || spec.steps.size() > most_steps)
+    if (spec.steps.empty() || spec.steps.size() > max_steps)
     {
-        return "A submission must have between 1 and " + std::to_string(most_steps) + " steps.";
+        return "A submission must have between 1 and " + std::to_string(max_steps) + " steps.";
     }
     std::uint64_t tasks = 0;
     for (std::uint32_t i = 0; i < spec.steps.size(); ++i)
@@ -80,8 +80,8 @@
 
 const queue_spec* workload_state::find_queue(const std::string& name) const
 {
-    const auto found = m_queue_places.find(name);
-    return found == m_queue_places.end() ? nullptr : &m_catalogue->queues[found->second];
+    const auto found = m_queue_positions.find(name);
+    return found == m_queue_positions.end() ? nullptr : &m_configuration->queues[found->second];
 }
 
 const submission* workload_state::find(submission_id id) const
@@ -90,30 +90,30 @@
     return found == m_submissions.end() ? nullptr : &found->second;
 }
 
-const worker_life* workload_state::find(worker_life_id id) const
+const worker_incarnation* workload_state::find(worker_incarnation_id id) const
 {
     const auto found = m_workers.find(id);
     return found == m_workers.end() ? nullptr : &found->second;
 }
 
-const worker_life* workload_state::find_life(const life_ref& life) const
+const worker_incarnation* workload_state::find_incarnation(const worker_incarnation_ref& incarnation) const
 {
-    const auto found = m_by_life.find(life);
-    return found == m_by_life.end() ? nullptr : find(found->second);
+    const auto found = m_by_incarnation.find(incarnation);
+    return found == m_by_incarnation.end() ? nullptr : find(found->second);
 }
 
-const worker_life* workload_state::find_id(const std::string& id) const
+const worker_incarnation* workload_state::find_id(const std::string& id) const
 {
-    worker_life_id newest{};
-    for (auto at = m_by_life.lower_bound({id, birth_ms{INT64_MIN}});
-         at != m_by_life.end() && at->first.id == id; ++at)
+    worker_incarnation_id newest{};
+    for (auto at = m_by_incarnation.lower_bound({id, process_start_ms{INT64_MIN}});
+         at != m_by_incarnation.end() && at->first.id == id; ++at)
     {
         newest = std::max(newest, at->second);
     }
     return find(newest);
 }
 
-const worker_life* workload_state::find_host(const std::string& host) const
+const worker_incarnation* workload_state::find_host(const std::string& host) const
 {
     const auto found = m_by_host.find(host);
     return found == m_by_host.end() ? nullptr : find(found->second);
@@ -182,22 +182,22 @@
     return outcome;
 }
 
-workload_result workload_state::handle(wall_ms /*at*/, const replace_catalogue& command)
+workload_result workload_state::handle(wall_ms /*at*/, const replace_cluster_configuration& command)
 {
     if (auto fault = find_fault(command.next))
     {
-        return refuse(workload_code::bad_catalogue, *fault);
+        return refuse(workload_code::bad_configuration, *fault);
     }
-    if (!m_catalogue || command.next.version > m_catalogue->version)
+    if (!m_configuration || command.next.version > m_configuration->version)
     {
-        m_catalogue = command.next;
-        index_catalogue();
-        m_quotas.set_limits(m_catalogue->organisations);
+        m_configuration = command.next;
+        index_configuration();
+        m_quotas.set_limits(m_configuration->organisations);
     }
     return {};
 }
 
-workload_result workload_state::handle(wall_ms at, const keep_submission& command)
+workload_result workload_state::handle(wall_ms at, const accept_submission& command)
 {
     const submission* known = find(command.id);
     if (known != nullptr)
@@ -291,7 +291,8 @@
     {
         apply_end(at, found->second, end);
     }
-    found->second.listed_up_to = std::max(found->second.listed_up_to, command.listed_up_to);
+    found->second.ends_recorded_up_to =
+        std::max(found->second.ends_recorded_up_to, command.ends_recorded_up_to);
     return {};
 }
 
@@ -320,19 +321,19 @@
     {
         return {};
     }
-    upkeep_wave& wave = m_waves[command.wave];
+    maintenance_wave& wave = m_waves[command.wave];
     wave.wave = command.wave;
     wave.asked = at;
     wave.within_s = command.within_s;
     wave.at_once = command.at_once;
     for (const std::string& host : command.hosts)
     {
-        wave.hosts[host] = static_cast<std::uint8_t>(upkeep_phase::waiting);
+        wave.hosts[host] = static_cast<std::uint8_t>(maintenance_phase::waiting);
     }
     return {};
 }
 
-workload_result workload_state::handle(wall_ms /*at*/, const advance_upkeep& command)
+workload_result workload_state::handle(wall_ms /*at*/, const advance_maintenance& command)
 {
     const auto wave = m_waves.find(command.wave);
     if (wave == m_waves.end() || !wave->second.hosts.contains(command.host))
--- a/tests/src/advisor_stand_in.hpp
+++ b/tests/src/advisor_stand_in.hpp
@@ -62,13 +62,13 @@
         answer.answered = true;
         answer.took = m_now - asked.since;
         answer.took_ms = std::chrono::duration_cast<milliseconds>(answer.took).count();
-        for (const std::string& life : asked.question.incarnations)
+        for (const std::string& incarnation : asked.question.incarnations)
         {
-            if (advisor_allows(asked.question.step, life))
+            if (advisor_allows(asked.question.step, incarnation))
             {
                 const monotonic_time from = m_settings.tickets_from_question ? asked.since : m_now;
-                m_tickets[{asked.question.step, life}] = from + milliseconds(1500);
-                answer.good.push_back({life, "t"});
+                m_tickets[{asked.question.step, incarnation}] = from + milliseconds(1500);
+                answer.good.push_back({incarnation, "t"});
             }
         }
         asked.handler(answer);
--- a/tests/src/hall_fixture.hpp
+++ b/tests/src/hall_fixture.hpp
@@ -103,7 +103,7 @@
             }
         }
     }
-    void start_everything()
+    void start_all_runs()
     {
         for (const auto& [id, job] : m_state.jobs())
         {
@@ -168,7 +168,7 @@
         hall.submit(hall.make_job(kind, per_job, size, static_cast<std::uint16_t>(1 + placed / per_job % 2)));
     }
     hall.plan_all();
-    hall.start_everything();
+    hall.start_all_runs();
 }
 
 // Adds large jobs of several sizes; those that fit are started, the others wait.
@@ -182,7 +182,7 @@
             hall.make_job(workload_kind::batch, per_job, size, static_cast<std::uint16_t>(1 + n % 2)));
     }
     hall.plan_all();
-    hall.start_everything();
+    hall.start_all_runs();
 }
 
 } // namespace walkthread::test
--- a/tests/src/pool_settings.hpp
+++ b/tests/src/pool_settings.hpp
@@ -44,7 +44,7 @@
     duration restart = milliseconds(3000); // time until a worker that a task crashed is back
     bool restarts_keep_ids = false;        // with the same id but without its state
     // Time for which a host is down for maintenance; 0: the order has no effect.
-    duration upkeep = milliseconds(0);
+    duration maintenance = milliseconds(0);
     resources organisation_limit{}; // of each organisation; no limits if it is empty
     std::uint64_t seed = 1;
     std::size_t look_connections = SIZE_MAX; // maximum number of concurrent polls, as known to the leader
--- a/tests/src/pool_stand_in.hpp
+++ b/tests/src/pool_stand_in.hpp
@@ -24,11 +24,11 @@
     explicit pool_stand_in(pool_settings settings) : advisor_stand_in(settings)
     {
         send_reports();
-        m_take_down = [this](const std::string& life)
+        m_take_down = [this](const std::string& incarnation)
         {
-            take_down_under_run(life);
+            take_down_under_run(incarnation);
         };
-        catalogue held;
+        cluster_configuration held;
         held.version = 1;
         held.pools.push_back({"pool", false, false});
         for (const auto& [name, priority, advised] :
@@ -48,7 +48,7 @@
             queue.advice = {10.0, 0.2, 1500};
             held.queues.push_back(queue);
         }
-        commit(replace_catalogue{held});
+        commit(replace_cluster_configuration{held});
         limit_organisations(settings.organisation_limit);
         for (std::size_t i = 0; i < settings.workers; ++i)
         {
@@ -69,11 +69,11 @@
         chosen.mechanisms = m_settings.mechanisms;
         chosen.look_connections = m_settings.look_connections;
         m_leader = std::make_unique<dispatcher>(m_state, chosen, hooks(), *m_log, m_term, m_now);
-        for (auto& [life, worker] : m_workers)
+        for (auto& [incarnation, worker] : m_workers)
         {
             if (!worker.terminated && !worker.faults.reports_lost)
             {
-                report(life, worker.draining);
+                report(incarnation, worker.draining);
             }
         }
         m_pass_due = false;
@@ -90,17 +90,18 @@
     {
         return m_leader_since;
     }
-    void report(const std::string& life, bool draining, std::int64_t remaining_ms = 3000)
+    void report(const std::string& incarnation, bool draining, std::int64_t remaining_ms = 3000)
     {
-        deliver(write_report(life, draining, remaining_ms));
+        deliver(write_report(incarnation, draining, remaining_ms));
     }
     // Creates a report as the worker would send it. It may be delivered later, after newer ones.
-    worker_report write_report(const std::string& life, bool draining, std::int64_t remaining_ms = 3000)
+    worker_report write_report(const std::string& incarnation, bool draining,
+                               std::int64_t remaining_ms = 3000)
     {
-        sim_worker& worker = m_workers[life];
+        sim_worker& worker = m_workers[incarnation];
         worker.draining = draining;
         worker_report out;
-        out.facts = worker.facts;
+        out.description = worker.description;
         out.draining = draining;
         out.remaining_ms = remaining_ms;
         out.clock_ms = clock_of(worker);
@@ -122,11 +123,11 @@
                                 });
     }
     // A worker announces that it is terminating now; `then` is called when that is acknowledged.
-    void leave(const std::string& life, const std::function<void()>& then)
+    void leave(const std::string& incarnation, const std::function<void()>& then)
     {
-        m_workers[life].terminated = true;
-        m_workers[life].running.clear();
-        m_leader->take_leave(life,
+        m_workers[incarnation].terminated = true;
+        m_workers[incarnation].running.clear();
+        m_leader->take_leave(incarnation,
                              [then](bool counted)
                              {
                                  if (counted)
@@ -135,43 +136,39 @@
                                  }
                              });
     }
-    void add_worker(const std::string& life, const std::string& host, bool reports = true)
+    void add_worker(const std::string& incarnation, const std::string& host, bool reports = true)
     {
-        sim_worker& worker = m_workers[life];
+        sim_worker& worker = m_workers[incarnation];
         const bool slow = m_settings.slow_every > 0 && m_workers.size() % m_settings.slow_every == 0;
         worker.slowness = slow ? 1.3 : 1.0;
-        worker.facts = {life,
-                        host,
-                        host + ":1",
-                        "pool",
-                        "hall",
-                        {"kind", "rack" + std::to_string(m_workers.size() / 8)},
-                        m_settings.size,
-                        birth_ms{1}};
+        worker.description = {incarnation,     host,
+                              host + ":1",     "pool",
+                              "hall",          {"kind", "rack" + std::to_string(m_workers.size() / 8)},
+                              m_settings.size, process_start_ms{1}};
         worker.faults.reports_lost = !reports;
         if (m_leader && reports)
         {
-            report(life, false);
+            report(incarnation, false);
         }
     }
     // Changes the worker's capacity. Its next report contains the new value.
-    void resize(const std::string& life, const resources& size)
+    void resize(const std::string& incarnation, const resources& size)
     {
-        m_workers[life].facts.size = size;
+        m_workers[incarnation].description.size = size;
     }
     // The worker process dies and another incarnation starts on the same host. The new one reports at once
     // unless `reports` is false.
-    void crash(const std::string& life, const std::string& next, bool reports = true)
+    void crash(const std::string& incarnation, const std::string& next, bool reports = true)
     {
-        const std::string host = m_workers[life].facts.host;
-        m_workers[life].terminated = true;
-        m_workers[life].running.clear();
+        const std::string host = m_workers[incarnation].description.host;
+        m_workers[incarnation].terminated = true;
+        m_workers[incarnation].running.clear();
         add_worker(next, host, reports);
     }
     // The worker terminates permanently. From then on its machine refuses connections or does not respond.
-    void remove_worker(const std::string& life, bool refuses_connections)
+    void remove_worker(const std::string& incarnation, bool refuses_connections)
     {
-        sim_worker& worker = m_workers[life];
+        sim_worker& worker = m_workers[incarnation];
         worker.terminated = true;
         worker.refuses_connections = refuses_connections;
         for (const auto& [run, state] : std::exchange(worker.running, {}))
@@ -190,9 +187,9 @@
     // The worker process dies and restarts after a while under the same id. It has lost all its state, and
     // its counters start again. Its connections are refused, or time out if `silent` (its machine lost
     // power).
-    void restart(const std::string& life, duration down, bool silent = false, bool reports = true)
+    void restart(const std::string& incarnation, duration down, bool silent = false, bool reports = true)
     {
-        sim_worker& worker = m_workers[life];
+        sim_worker& worker = m_workers[incarnation];
         worker.terminated = true;
         worker.refuses_connections = !silent;
         ++worker.look_number;
@@ -210,32 +207,32 @@
                });
         }
         at(down,
-           [this, life, reports, number = worker.look_number]
+           [this, incarnation, reports, number = worker.look_number]
            {
                sim_worker fresh;
-               sim_worker& former = m_workers[life];
+               sim_worker& former = m_workers[incarnation];
                if (former.look_number != number)
                {
                    return; // restarted again while it was down
                }
-               fresh.facts = former.facts;
+               fresh.description = former.description;
                fresh.slowness = former.slowness;
                fresh.starts = former.starts;
                fresh.look_number = former.look_number;
-               fresh.facts.born = birth_ms{wall()};
+               fresh.description.process_start = process_start_ms{wall()};
                fresh.clock_zero = m_now.time_since_epoch();
                fresh.faults.reports_lost = !reports;
                former = fresh;
                if (m_leader && reports)
                {
-                   report(life, false);
+                   report(incarnation, false);
                }
            });
     }
     submission_id submit(const std::string& queue, std::vector<step_spec> steps,
                          const std::string& organisation = {})
     {
-        keep_submission command;
+        accept_submission command;
         command.id = submission_id{++m_next_id};
         command.queue = queue;
         command.organisation = organisation;
@@ -313,7 +310,7 @@
         for (std::uint32_t index = 0; step != nullptr && step->gang && index < step->count; ++index)
         {
             const run_ref member{task_ref{lost.task.step, index}, lost.run};
-            for (auto& [life, worker] : m_workers)
+            for (auto& [incarnation, worker] : m_workers)
             {
                 if (!worker.terminated && worker.running.contains(member))
                 {
@@ -323,12 +320,12 @@
         }
     }
     // The worker process ends and its connections break. Another incarnation starts on the same host later.
-    void take_down_under_run(const std::string& life)
+    void take_down_under_run(const std::string& incarnation)
     {
-        sim_worker& worker = m_workers[life];
+        sim_worker& worker = m_workers[incarnation];
         if (m_settings.restarts_keep_ids)
         {
-            restart(life, m_settings.restart);
+            restart(incarnation, m_settings.restart);
             return;
         }
         worker.terminated = true;
@@ -347,20 +344,20 @@
                });
         }
         at(m_settings.restart,
-           [this, life, host = worker.facts.host]
+           [this, incarnation, host = worker.description.host]
            {
-               m_workers[life].refuses_connections = false;
-               add_worker(life + "+", host);
+               m_workers[incarnation].refuses_connections = false;
+               add_worker(incarnation + "+", host);
            });
     }
     // Workers report every 1.5 s while a leader receives their reports.
     void send_reports()
     {
-        for (auto& [life, worker] : m_workers)
+        for (auto& [incarnation, worker] : m_workers)
         {
             if (m_leader && !worker.terminated && !worker.faults.unresponsive && !worker.faults.reports_lost)
             {
-                report(life, worker.draining);
+                report(incarnation, worker.draining);
             }
         }
         at(milliseconds(1500),
@@ -373,15 +370,16 @@
     // down for it.
     order_outcome take_down(const std::string& host)
     {
-        if (m_settings.upkeep == duration{0} || m_upkept.contains(host))
+        if (m_settings.maintenance == duration{0} || m_upkept.contains(host))
         {
             return m_down_now.contains(host) ? order_outcome::no_room : order_outcome::accepted;
         }
-        const auto here = std::find_if(m_workers.begin(), m_workers.end(),
-                                       [&host](const auto& item)
-                                       {
-                                           return item.second.facts.host == host && !item.second.terminated;
-                                       });
+        const auto here =
+            std::find_if(m_workers.begin(), m_workers.end(),
+                         [&host](const auto& item)
+                         {
+                             return item.second.description.host == host && !item.second.terminated;
+                         });
         if (here == m_workers.end())
         {
             return order_outcome::no_room;
@@ -391,7 +389,7 @@
         m_upkept.insert(host);
         m_down_now.insert(host);
         m_most_down = std::max(m_most_down, m_down_now.size());
-        at(m_settings.upkeep,
+        at(m_settings.maintenance,
            [this, host, next = here->first + "+"]
            {
                m_down_now.erase(host);
@@ -511,8 +509,8 @@
                 return askers_idle();
             };
         }
-        out.order_upkeep = [this](const std::string& host, std::uint64_t, std::uint64_t,
-                                  const std::function<void(const order_answer&)>& handler)
+        out.order_maintenance = [this](const std::string& host, std::uint64_t, std::uint64_t,
+                                       const std::function<void(const order_answer&)>& handler)
         {
             answer_later(handler, {take_down(host), {}, false});
         };
--- a/tests/src/standstill_check.hpp
+++ b/tests/src/standstill_check.hpp
@@ -154,9 +154,9 @@
                 m_reported_tasks.insert(task).second)
             {
                 m_found.push_back(name_of(task) +
-                                  (spec.gang      ? " of a gang"
-                                   : spec.lasting ? " (long-running)"
-                                                  : "") +
+                                  (spec.gang           ? " of a gang"
+                                   : spec.long_running ? " (long-running)"
+                                                       : "") +
                                   " has been stalled since " + time_of(since) + " at " +
                                   time_of(m_pool.now()));
             }
@@ -182,20 +182,20 @@
     }
     [[nodiscard]] bool is_suspect(const task_ref& task) const
     {
-        const suspicion* against = m_pool.state().crashes().find(task);
-        return against != nullptr &&
-               against->crashes + against->unclear + against->unproven >= m_bounds.losses_before_rest;
+        const crash_evidence* against = m_pool.state().crashes().find(task);
+        return against != nullptr && against->crashes + against->unclear + against->unconfirmed_losses >=
+                                         m_bounds.losses_before_rest;
     }
 
     // Collects the runs on workers that are up and within their lease.
     void find_runs()
     {
         m_runs.clear();
-        for (const auto& [life, worker] : m_pool.workers())
+        for (const auto& [incarnation, worker] : m_pool.workers())
         {
             for (const auto& [run, state] : worker.running)
             {
-                if (!worker.terminated && m_pool.lease_holds_on(life))
+                if (!worker.terminated && m_pool.lease_holds_on(incarnation))
                 {
                     m_runs.insert(run);
                 }
@@ -239,9 +239,9 @@
         const step_ref step = stalled.front().step;
         const bool advised = m_pool.state().find_queue(owner.queue)->advised;
         capacity_sum sum;
-        for (const auto& [life, worker] : m_pool.workers())
+        for (const auto& [incarnation, worker] : m_pool.workers())
         {
-            if (takes_work(worker) && (!advised || m_pool.advisor_allows(step, life)))
+            if (takes_work(worker) && (!advised || m_pool.advisor_allows(step, incarnation)))
             {
                 add_capacity(worker, spec, step, sum);
             }
@@ -270,7 +270,7 @@
             used += other == nullptr ? resources{} : other->size;
             here += run.task.step == step ? 1 : 0;
         }
-        const resources free = worker.facts.size - used;
+        const resources free = worker.description.size - used;
         std::uint64_t slots = 0;
         while (slots < spec.count * room_needed &&
                fits(spec.size * static_cast<std::int64_t>(slots + 1), free))
@@ -284,7 +284,7 @@
         }
         sum.slots += slots;
         sum.used += used;
-        sum.total += worker.facts.size;
+        sum.total += worker.description.size;
     }
 
     pool_stand_in& m_pool;
--- a/tests/src/troubled_pool.hpp
+++ b/tests/src/troubled_pool.hpp
@@ -25,12 +25,12 @@
         m_frozen_term = term();
     }
     // Drops calls to the worker and messages from it for this time; its runs continue.
-    void isolate_worker(const std::string& life, duration span)
+    void isolate_worker(const std::string& incarnation, duration span)
     {
-        sim_worker& worker = m_workers[life];
+        sim_worker& worker = m_workers[incarnation];
         worker.faults.unresponsive = true;
-        const monotonic_time until = std::max(m_cut_until[life], now() + span);
-        m_cut_until[life] = until;
+        const monotonic_time until = std::max(m_cut_until[incarnation], now() + span);
+        m_cut_until[incarnation] = until;
         if (auto handler = std::exchange(worker.waiting_look, nullptr); handler)
         {
             at(lost_answer_timeout,
@@ -40,9 +40,9 @@
                });
         }
         at(until - now(),
-           [this, life]
+           [this, incarnation]
            {
-               m_workers[life].faults.unresponsive = now() < m_cut_until[life];
+               m_workers[incarnation].faults.unresponsive = now() < m_cut_until[incarnation];
            });
     }
     [[nodiscard]] std::optional<monotonic_time> works_since() const override
--- a/tests/src/unit-acknowledged.cpp
+++ b/tests/src/unit-acknowledged.cpp
@@ -89,9 +89,10 @@
     pool.run(milliseconds(100));
     const submission_id id = pool.submit("plain", {make_step(1, 1000, 300)});
     pool.run(milliseconds(100));
-    const worker_life& life = *pool.state().find_id("w0");
-    pool.state().apply(0, record_starts{{planned_start{task_ref{{id, round_id{0}, 0}, 0}, 1, life.id}}});
-    BOOST_TEST(life.occupied.empty());
+    const worker_incarnation& incarnation = *pool.state().find_id("w0");
+    pool.state().apply(0,
+                       record_starts{{planned_start{task_ref{{id, round_id{0}, 0}, 0}, 1, incarnation.id}}});
+    BOOST_TEST(incarnation.occupied.empty());
 }
 
 // A worker that revoked its announcement to leave is used by the next leader too.
@@ -130,7 +131,7 @@
     cancelled,
     kept,
     ended,
-    upkeep,
+    maintenance,
 };
 
 // Runs one scenario without other faults: load, one acknowledgement at a time drawn from the seed, and the
@@ -139,7 +140,7 @@
 {
     pool_settings settings = small_pool_settings(6);
     settings.seed = seed;
-    settings.upkeep = seconds(2);
+    settings.maintenance = seconds(2);
     pool_stand_in pool(settings);
     std::mt19937_64 random(seed * 131);
     pool.start_leader();
@@ -150,7 +151,7 @@
         all.push_back(pool.submit("plain", {make_step(8, 3000, 1500)}));
     }
     pool.run(milliseconds(static_cast<std::int64_t>(20 + random() % 2500)));
-    const std::string life = "w" + std::to_string(random() % 6);
+    const std::string incarnation = "w" + std::to_string(random() % 6);
     const duration leaderless = milliseconds(static_cast<std::int64_t>(random() % 1500));
     bool acknowledged = false;
     const auto change = [&pool, &acknowledged, leaderless]
@@ -161,14 +162,14 @@
     switch (kind)
     {
     case acknowledged_kind::leaving:
-        pool.deliver(pool.write_report(life, true, 60'000),
+        pool.deliver(pool.write_report(incarnation, true, 60'000),
                      [&acknowledged]
                      {
                          acknowledged = true;
                      });
         break;
     case acknowledged_kind::left:
-        pool.leave(life,
+        pool.leave(incarnation,
                    [&acknowledged]
                    {
                        acknowledged = true;
@@ -184,7 +185,7 @@
         break;
     case acknowledged_kind::ended:
         break;
-    case acknowledged_kind::upkeep:
+    case acknowledged_kind::maintenance:
         pool.begin_upkeep({"h0", "h1", "h2", "h3"}, 30, 1);
         pool.run(milliseconds(static_cast<std::int64_t>(random() % 4000)));
         break;
@@ -210,7 +211,7 @@
         check_unbroken(pool);
         BOOST_TEST((pool.longest_after_cancel() < leaderless + milliseconds(600))); // 200 ms for a stop
         BOOST_TEST(pool.most_down() <= 1U);
-        BOOST_TEST((kind != acknowledged_kind::upkeep || pool.state().waves().at(1).complete()));
+        BOOST_TEST((kind != acknowledged_kind::maintenance || pool.state().waves().at(1).complete()));
         for (const submission_id id : all)
         {
             const submission_phase expected = kind == acknowledged_kind::cancelled && id == all.front()
@@ -230,7 +231,7 @@
 {
     for (const acknowledged_kind kind :
          {acknowledged_kind::leaving, acknowledged_kind::left, acknowledged_kind::cancelled,
-          acknowledged_kind::kept, acknowledged_kind::ended, acknowledged_kind::upkeep})
+          acknowledged_kind::kept, acknowledged_kind::ended, acknowledged_kind::maintenance})
     {
         for (std::uint64_t seed = first_seed(); seed < first_seed() + seed_count(40); ++seed)
         {
@@ -280,15 +281,15 @@
         pool.run(seconds(1));
         for (int step = 0; step < 120; ++step)
         {
-            const std::string life = "w" + std::to_string(1 + draw(5)); // one worker never leaves
+            const std::string incarnation = "w" + std::to_string(1 + draw(5)); // one worker never leaves
             switch (draw(9))
             {
             case 0:
             case 1:
-                pool.report(life, draw(3) != 0, 60'000);
+                pool.report(incarnation, draw(3) != 0, 60'000);
                 break;
             case 2:
-                held_back.push_back(pool.write_report(life, draw(2) == 0, 60'000));
+                held_back.push_back(pool.write_report(incarnation, draw(2) == 0, 60'000));
                 break;
             case 3:
                 if (!held_back.empty())
@@ -297,19 +298,19 @@
                 }
                 break;
             case 4:
-                pool.faults(life).unresponsive = !pool.faults(life).unresponsive;
+                pool.faults(incarnation).unresponsive = !pool.faults(incarnation).unresponsive;
                 break;
             case 5:
-                pool.faults(life).late = draw(2) == 0 ? 0.4 : 0.0;
+                pool.faults(incarnation).late = draw(2) == 0 ? 0.4 : 0.0;
                 break;
             case 6:
-                pool.faults(life).reports_lost = !pool.faults(life).reports_lost;
+                pool.faults(incarnation).reports_lost = !pool.faults(incarnation).reports_lost;
                 break;
             case 7:
                 if (draw(2) == 0)
                 {
                     bool acknowledged = false;
-                    pool.deliver(pool.write_report(life, true, 60'000),
+                    pool.deliver(pool.write_report(incarnation, true, 60'000),
                                  [&acknowledged]
                                  {
                                      acknowledged = true;
@@ -345,7 +346,7 @@
 BOOST_AUTO_TEST_CASE(a_wave_ends_although_the_leader_is_lost_right_after_an_upkeep_began)
 {
     pool_settings settings = small_pool_settings(3);
-    settings.upkeep = seconds(2);
+    settings.maintenance = seconds(2);
     pool_stand_in pool(settings);
     pool.start_leader();
     pool.run(seconds(1));
@@ -367,14 +368,14 @@
 BOOST_AUTO_TEST_CASE(a_stop_of_the_last_leader_counts_as_away)
 {
     pool_settings settings = small_pool_settings(2);
-    settings.upkeep = seconds(2);
+    settings.maintenance = seconds(2);
     pool_stand_in pool(settings);
     pool.start_leader();
     pool.run(seconds(1));
-    step_spec lasting = make_step(2, 9000, 0);
-    lasting.lasting = true;
-    lasting.may_miss = 1;
-    pool.submit("plain", {lasting});
+    step_spec long_running = make_step(2, 9000, 0);
+    long_running.long_running = true;
+    long_running.may_miss = 1;
+    pool.submit("plain", {long_running});
     pool.run(seconds(3));
     BOOST_REQUIRE(pool.running_on("w0") == 1U);
     BOOST_REQUIRE(pool.running_on("w1") == 1U);
@@ -416,9 +417,9 @@
     std::vector<submission_id> all;
     for (int i = 0; i < 8; ++i)
     {
-        step_spec lasting = make_step(3, 1000, 20'000);
-        lasting.lasting = i % 2 == 0;
-        all.push_back(pool.submit("plain", {lasting}));
+        step_spec long_running = make_step(3, 1000, 20'000);
+        long_running.long_running = i % 2 == 0;
+        all.push_back(pool.submit("plain", {long_running}));
     }
     pool.run(milliseconds(static_cast<std::int64_t>(50 + seed * 37 % 900)));
     if (other_leader)
--- a/tests/src/unit-crash-ledger.cpp
+++ b/tests/src/unit-crash-ledger.cpp
@@ -1,4 +1,4 @@
-#define BOOST_TEST_MODULE crash_ledger
+#define BOOST_TEST_MODULE crash_evidence_table
 #include <boost/test/unit_test.hpp>
 
 #include <walkthread/dispatch/suspect_watch.hpp>
@@ -21,7 +21,7 @@
 
     fixture()
     {
-        catalogue held;
+        cluster_configuration held;
         held.version = 1;
         held.pools.push_back({"pool", false, false});
         queue_spec queue;
@@ -32,8 +32,8 @@
         queue.pool = "pool";
         queue.max_attempts = 2;
         held.queues.push_back(queue);
-        state.apply(noon, replace_catalogue{held});
-        keep_submission command;
+        state.apply(noon, replace_cluster_configuration{held});
+        accept_submission command;
         command.id = submission_id{1};
         command.queue = "q";
         command.spec.steps.emplace_back();
@@ -49,10 +49,11 @@
     // Adds another incarnation on the only host.
     void admit()
     {
-        const std::string life = "life" + std::to_string(++lives);
-        state.apply(noon, admit_worker{{life, "host", "10.0.0.1:1", "pool", "hall", {}, {4000, 4000, 0, 0}}});
+        const std::string incarnation = "life" + std::to_string(++lives);
+        state.apply(
+            noon, admit_worker{{incarnation, "host", "10.0.0.1:1", "pool", "hall", {}, {4000, 4000, 0, 0}}});
     }
-    worker_life_id present()
+    worker_incarnation_id present()
     {
         return state.find_host("host")->id;
     }
@@ -69,19 +70,19 @@
 };
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(two_crashes_with_nothing_beside_are_enough, fixture)
+BOOST_FIXTURE_TEST_CASE(two_crashes_as_the_only_recent_submission_fail_the_task, fixture)
 {
-    lose_host(true, blame::sole);
+    lose_host(true, blame::only_recent_submission);
     BOOST_TEST((phase() == submission_phase::running));
     admit();
-    lose_host(true, blame::sole);
+    lose_host(true, blame::only_recent_submission);
     BOOST_TEST((phase() == submission_phase::failed));
-    BOOST_REQUIRE(state.crashes().verdicts().size() == 1U);
-    BOOST_TEST(state.crashes().verdicts().front().against.crashes == 2U);
+    BOOST_REQUIRE(state.crashes().poison_tasks().size() == 1U);
+    BOOST_TEST(state.crashes().poison_tasks().front().against.crashes == 2U);
     BOOST_TEST(state.crashes().suspects().empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(the_smallest_shares_convict_at_the_fifth_crash, fixture)
+BOOST_FIXTURE_TEST_CASE(the_smallest_shares_fail_the_task_at_the_fifth_crash, fixture)
 {
     for (int crash = 1; crash <= 5; ++crash)
     {
@@ -92,9 +93,9 @@
     BOOST_TEST((phase() == submission_phase::failed));
 }
 
-BOOST_FIXTURE_TEST_CASE(one_crash_and_orders_that_may_never_have_begun_are_not_enough, fixture)
+BOOST_FIXTURE_TEST_CASE(one_crash_and_runs_that_may_not_have_started_do_not_fail_the_task, fixture)
 {
-    lose_host(true, blame::sole);
+    lose_host(true, blame::only_recent_submission);
     for (int unclear = 0; unclear < 3; ++unclear)
     {
         admit();
@@ -105,37 +106,37 @@
 
 // Guards against failing a task after a single crash because of start orders that were sent to hosts that
 // were already down.
-BOOST_FIXTURE_TEST_CASE(runs_that_may_never_have_begun_convict_nobody, fixture)
+BOOST_FIXTURE_TEST_CASE(runs_that_may_not_have_started_never_fail_a_task, fixture)
 {
-    lose_host(true, blame::sole);
+    lose_host(true, blame::only_recent_submission);
     for (std::uint32_t unclear = 1; unclear <= 8; ++unclear)
     {
         admit();
-        lose_host(true, blame::sole, false);
+        lose_host(true, blame::only_recent_submission, false);
         BOOST_TEST((phase() == submission_phase::running));
         BOOST_TEST(state.crashes().find(task())->unclear == unclear);
     }
-    BOOST_TEST(state.crashes().find(task())->blame == blame::sole);
+    BOOST_TEST(state.crashes().find(task())->blame == blame::only_recent_submission);
 }
 
 // Successive leaders may report the same loss.
-BOOST_AUTO_TEST_CASE(a_run_is_charged_once)
+BOOST_AUTO_TEST_CASE(a_crash_counts_once_for_each_run)
 {
-    crash_ledger ledger;
-    const lost_run newer{run_ref{fixture::task(), 2}, true, blame::sole, {}, false};
+    crash_evidence_table ledger;
+    const lost_run newer{run_ref{fixture::task(), 2}, true, blame::only_recent_submission, {}, false};
     const lost_run older{run_ref{fixture::task(), 1}, true, blame::min_share, {}, false};
-    BOOST_TEST(!ledger.accuse(newer, "host"));
-    BOOST_TEST(!ledger.accuse(newer, "host"));
+    BOOST_TEST(!ledger.add_crash_evidence(newer, "host"));
+    BOOST_TEST(!ledger.add_crash_evidence(newer, "host"));
     BOOST_TEST(ledger.find(fixture::task())->crashes == 1U);
-    BOOST_TEST(!ledger.accuse(older, "other")); // confirmed after the newer run
+    BOOST_TEST(!ledger.add_crash_evidence(older, "other")); // confirmed after the newer run
     BOOST_TEST(ledger.find(fixture::task())->crashes == 2U);
-    BOOST_TEST(ledger.find(fixture::task())->blame == blame::sole + blame::min_share);
+    BOOST_TEST(ledger.find(fixture::task())->blame == blame::only_recent_submission + blame::min_share);
 }
 
 // The other submission may have caused the crashes.
-BOOST_FIXTURE_TEST_CASE(two_crashes_are_not_enough_where_another_submission_had_begun_beside, fixture)
+BOOST_FIXTURE_TEST_CASE(two_crashes_do_not_fail_a_task_if_another_submission_had_just_started, fixture)
 {
-    lose_host(true, blame::sole);
+    lose_host(true, blame::only_recent_submission);
     admit();
     lose_host(true, blame::one_of_two_submissions);
     BOOST_TEST((phase() == submission_phase::running));
@@ -165,49 +166,53 @@
     BOOST_TEST(!watch.watches(present(), other, monotonic_time{}));
 }
 
-BOOST_FIXTURE_TEST_CASE(what_was_known_of_a_silent_worker_outlives_a_snapshot, fixture)
+BOOST_FIXTURE_TEST_CASE(last_known_runs_of_an_unresponsive_worker_are_in_the_snapshot, fixture)
 {
     state.apply(noon, record_starts{{planned_start{task(), ++runs, present()}}});
     const run_ref run{task(), runs};
-    state.apply(noon, note_last_word{present(), {{run, true, blame::sole, {}, false}}});
+    state.apply(noon,
+                record_last_known_runs{present(), {{run, true, blame::only_recent_submission, {}, false}}});
     workload_state copy;
     BOOST_REQUIRE(copy.load(state.save()));
-    BOOST_REQUIRE(copy.find_host("host")->last_word.size() == 1U);
-    BOOST_TEST((copy.find_host("host")->last_word.front().run == run));
-    state.apply(noon, note_last_word{present(), {}});
-    BOOST_TEST(state.find_host("host")->last_word.empty());
+    BOOST_REQUIRE(copy.find_host("host")->last_known_runs.size() == 1U);
+    BOOST_TEST((copy.find_host("host")->last_known_runs.front().run == run));
+    state.apply(noon, record_last_known_runs{present(), {}});
+    BOOST_TEST(state.find_host("host")->last_known_runs.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(a_host_that_is_unheard_proves_nothing_until_another_life_answers, fixture)
+BOOST_FIXTURE_TEST_CASE(an_unresponsive_host_counts_as_crashed_only_once_a_new_incarnation_answers, fixture)
 {
-    lose_host(false, blame::sole);
-    BOOST_TEST(state.crashes().find(task())->unproven == 1U);
+    lose_host(false, blame::only_recent_submission);
+    BOOST_TEST(state.crashes().find(task())->unconfirmed_losses == 1U);
     BOOST_TEST(state.crashes().find(task())->blame == 0U);
     --lives;
     admit(); // the same incarnation: it was partitioned
     BOOST_TEST(state.crashes().find(task()) == nullptr);
-    lose_host(false, blame::sole);
+    lose_host(false, blame::only_recent_submission);
     admit();
-    BOOST_TEST(state.crashes().find(task())->unproven == 0U);
+    BOOST_TEST(state.crashes().find(task())->unconfirmed_losses == 0U);
     BOOST_TEST(state.crashes().find(task())->crashes == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_worker_that_leaves_or_has_its_upkeep_blames_nobody, fixture)
+BOOST_FIXTURE_TEST_CASE(a_worker_that_leaves_or_is_under_maintenance_is_no_crash_evidence, fixture)
 {
     state.apply(noon, record_starts{{planned_start{task(), ++runs, present()}}});
     state.apply(noon, mark_leaving{present(), 1, true});
-    state.apply(noon, drop_worker{present(), true, {{run_ref{task(), runs}, true, blame::sole, {}}}});
+    state.apply(
+        noon,
+        drop_worker{present(), true, {{run_ref{task(), runs}, true, blame::only_recent_submission, {}}}});
     BOOST_TEST(state.crashes().find(task()) == nullptr);
     admit();
     state.apply(noon, begin_wave{1, {"host"}, 60, 1});
-    state.apply(noon, advance_upkeep{1, "host", static_cast<std::uint8_t>(upkeep_phase::under_way)});
-    lose_host(true, blame::sole);
+    state.apply(noon,
+                advance_maintenance{1, "host", static_cast<std::uint8_t>(maintenance_phase::under_way)});
+    lose_host(true, blame::only_recent_submission);
     BOOST_TEST(state.crashes().find(task()) == nullptr);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_task_that_completes_is_cleared, fixture)
+BOOST_FIXTURE_TEST_CASE(crash_evidence_is_dropped_when_the_task_completes, fixture)
 {
-    lose_host(true, blame::sole);
+    lose_host(true, blame::only_recent_submission);
     admit();
     state.apply(noon, record_starts{{planned_start{task(), ++runs, present()}}});
     const observed_end done{run_ref{task(), runs}, static_cast<std::uint8_t>(run_end::completed), {}};
@@ -216,14 +221,14 @@
     BOOST_TEST(state.crashes().suspects().empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(suspicion_outlives_a_snapshot_and_an_older_snapshot_still_loads, fixture)
+BOOST_FIXTURE_TEST_CASE(crash_evidence_is_in_the_snapshot_and_an_older_snapshot_still_loads, fixture)
 {
-    lose_host(true, blame::sole);
+    lose_host(true, blame::only_recent_submission);
     admit();
     const std::string bytes = state.save();
     workload_state copy;
     BOOST_REQUIRE(copy.load(bytes));
-    BOOST_TEST(copy.crashes().find(task())->blame == blame::sole);
+    BOOST_TEST(copy.crashes().find(task())->blame == blame::only_recent_submission);
 
     // Snapshots of versions without crash evidence have fewer elements.
     constexpr std::uint32_t elements_before = 7;
--- a/tests/src/unit-crash-loops.cpp
+++ b/tests/src/unit-crash-loops.cpp
@@ -83,9 +83,9 @@
     const submission_id id = scenario.pool.submit("batch", {make_step(10, 980, 5000)});
     scenario.pool.run(milliseconds(300));
     const task_ref first{{id, round_id{0}, 0}, 0};
-    const worker_life_id there = scenario.pool.state().find(first)->worker;
+    const worker_incarnation_id there = scenario.pool.state().find(first)->worker;
     BOOST_REQUIRE(scenario.pool.state().find(there)->occupied.size() == 10U);
-    scenario.pool.crash(scenario.pool.state().find(there)->facts.id, "next");
+    scenario.pool.crash(scenario.pool.state().find(there)->description.id, "next");
     scenario.pool.run(bounds.drop_and_commit + bounds.question + bounds.start);
     for (std::uint32_t index = 0; index < 10; ++index)
     {
@@ -109,11 +109,11 @@
             scenario.pool.start_leader();
         }
         scenario.pool.run(milliseconds(3500));
-        const suspicion* against = scenario.pool.state().crashes().find(scenario.crashing_tasks.front());
+        const crash_evidence* against = scenario.pool.state().crashes().find(scenario.crashing_tasks.front());
         BOOST_REQUIRE(against != nullptr);
         BOOST_TEST(against->crashes == 1U);
         BOOST_TEST(against->unclear == 0U);
-        BOOST_TEST(against->blame == blame::sole);
+        BOOST_TEST(against->blame == blame::only_recent_submission);
     }
 }
 
@@ -124,12 +124,13 @@
     crash_day scenario(1);
     scenario.submit_ordinary("plain", {make_step(1, 1400, 30000)});
     scenario.pool.run(milliseconds(100));
-    const worker_life& worker = *scenario.pool.state().find_host("h0");
+    const worker_incarnation& worker = *scenario.pool.state().find_host("h0");
     BOOST_REQUIRE(worker.occupied.size() == 1U);
     const run_ref run = worker.occupied.begin()->first;
-    scenario.pool.state().apply(0, note_last_word{worker.id, {{run, true, blame::sole, {}, false}}});
+    scenario.pool.state().apply(
+        0, record_last_known_runs{worker.id, {{run, true, blame::only_recent_submission, {}, false}}});
     scenario.pool.run(milliseconds(1200)); // a poll is held open for 1 s
-    BOOST_TEST(scenario.pool.state().find_host("h0")->last_word.empty());
+    BOOST_TEST(scenario.pool.state().find_host("h0")->last_known_runs.empty());
 }
 
 // Its end may have gone unreported, as run time estimates can be far off.
@@ -142,7 +143,7 @@
     scenario.pool.run(milliseconds(2500));
     scenario.pool.crash("w0", "next");
     scenario.pool.run(milliseconds(500));
-    const suspicion* against = scenario.pool.state().crashes().find({{id, round_id{0}, 0}, 0});
+    const crash_evidence* against = scenario.pool.state().crashes().find({{id, round_id{0}, 0}, 0});
     BOOST_REQUIRE(against != nullptr);
     BOOST_TEST(against->crashes == 0U);
     BOOST_TEST(against->unclear == 1U);
@@ -153,7 +154,7 @@
 {
     crash_day scenario(12);
     step_spec step = make_step(1, 1400, 1000);
-    step.lasting = true;
+    step.long_running = true;
     const submission_id id = scenario.pool.submit("plain", {step});
     scenario.pool.crash_a_worker.insert(id);
     scenario.pool.run(seconds(60));
--- a/tests/src/unit-decision-cost.cpp
+++ b/tests/src/unit-decision-cost.cpp
@@ -29,19 +29,19 @@
     const std::uint32_t tasks = workers / 4;
     hall.submit(hall.make_job(workload_kind::batch, tasks, {100, 64, 0, 1}));
     hall.scheduler().take(hall.state().take_changes(), hall.state());
-    const std::uint64_t hosts = hall.scheduler().hosts_looked_at();
-    const std::uint64_t jobs = hall.scheduler().counters().jobs_looked_at;
+    const std::uint64_t hosts = hall.scheduler().hosts_examined();
+    const std::uint64_t jobs = hall.scheduler().counters().jobs_examined;
     const std::uint64_t allocated = allocations();
     const schedule plan = hall.scheduler().plan(hall.state(), hall.now(), 100'000);
     const auto placed = static_cast<double>(plan.placements.size());
     BOOST_REQUIRE(plan.placements.size() >= tasks / 4);
-    return {static_cast<double>(hall.scheduler().hosts_looked_at() - hosts) / placed,
+    return {static_cast<double>(hall.scheduler().hosts_examined() - hosts) / placed,
             static_cast<double>(allocations() - allocated) / placed,
-            static_cast<double>(hall.scheduler().counters().jobs_looked_at - jobs) / placed};
+            static_cast<double>(hall.scheduler().counters().jobs_examined - jobs) / placed};
 }
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_decision_looks_at_few_hosts_however_many_there_are)
+BOOST_AUTO_TEST_CASE(hosts_examined_per_decision_do_not_grow_with_the_hall)
 {
     const decision_cost few = measure(450);
     const decision_cost many = measure(4500);
--- a/tests/src/unit-decoding.cpp
+++ b/tests/src/unit-decoding.cpp
@@ -96,13 +96,13 @@
 
 void check_report(const worker_report& report)
 {
-    BOOST_REQUIRE(detail::parse_endpoint(report.facts.address).has_value());
-    BOOST_REQUIRE(!report.facts.pool.empty());
-    BOOST_REQUIRE(!report.facts.hall.empty());
-    BOOST_REQUIRE(!report.facts.host.empty());
-    BOOST_REQUIRE_GT(report.facts.size.cpu, 0);
-    BOOST_REQUIRE_GT(report.facts.size.memory, 0);
-    BOOST_REQUIRE_GE(report.facts.size.accelerators, 0);
+    BOOST_REQUIRE(detail::parse_endpoint(report.description.address).has_value());
+    BOOST_REQUIRE(!report.description.pool.empty());
+    BOOST_REQUIRE(!report.description.hall.empty());
+    BOOST_REQUIRE(!report.description.host.empty());
+    BOOST_REQUIRE_GT(report.description.size.cpu, 0);
+    BOOST_REQUIRE_GT(report.description.size.memory, 0);
+    BOOST_REQUIRE_GE(report.description.size.accelerators, 0);
     BOOST_REQUIRE_GE(report.remaining_ms, 0);
     BOOST_REQUIRE_LE(report.sequence, static_cast<std::uint64_t>(INT64_MAX));
 }
@@ -114,8 +114,9 @@
     BOOST_TEST(ok(decode_submission(good_submission.dump())));
     BOOST_TEST(ok(decode_catalogue(good_configuration.dump())));
     BOOST_TEST(ok(decode_look(good_poll_answer.dump())));
-    BOOST_TEST(value_of(decode_report("i-1", good_report.dump())).facts.born.value() == 1790095670000);
-    BOOST_TEST(value_of(decode_look(good_poll_answer.dump())).born.value() == 1790095670000);
+    BOOST_TEST(value_of(decode_report("i-1", good_report.dump())).description.process_start.value() ==
+               1790095670000);
+    BOOST_TEST(value_of(decode_look(good_poll_answer.dump())).process_start.value() == 1790095670000);
     BOOST_TEST(ok(decode_advice(good_advice.dump())));
     BOOST_TEST(ok(decode_wave(good_wave.dump())));
 }
@@ -215,8 +216,8 @@
     const auto read = decode_catalogue(with_organisation(
         R"("api-keys":["k1","k2"],"priority":1,"weight":55,"max-count":{"cpu":4425,"mem-mb":159,"gpu":2})"));
     BOOST_TEST_REQUIRE(read.index() == 0);
-    const catalogue& decoded_configuration = std::get<0>(read);
-    BOOST_TEST(decoded_configuration.guarded);
+    const cluster_configuration& decoded_configuration = std::get<0>(read);
+    BOOST_TEST(decoded_configuration.keys_required);
     BOOST_TEST_REQUIRE(decoded_configuration.organisations.size() == 1);
     const organisation_spec& organisation = decoded_configuration.organisations.front();
     BOOST_TEST(organisation.keys.size() == 2);
@@ -228,7 +229,7 @@
 {
     const auto read = decode_catalogue(R"({"version":7,"routes":[],"services":[]})");
     BOOST_TEST_REQUIRE(read.index() == 0);
-    BOOST_TEST(!std::get<0>(read).guarded);
+    BOOST_TEST(!std::get<0>(read).keys_required);
 }
 
 BOOST_AUTO_TEST_CASE(organisations_that_cannot_be_read_are_faults)
--- a/tests/src/unit-dispatch.cpp
+++ b/tests/src/unit-dispatch.cpp
@@ -204,9 +204,9 @@
     pool_stand_in pool(small_pool_settings(4));
     pool.start_leader();
     pool.run(seconds(1));
-    step_spec lasting = make_step(3, 1000, 0);
-    lasting.lasting = true;
-    const submission_id id = pool.submit("plain", {lasting});
+    step_spec long_running = make_step(3, 1000, 0);
+    long_running.long_running = true;
+    const submission_id id = pool.submit("plain", {long_running});
     pool.run(milliseconds(500));
     pool.cancel(id);
     pool.run(seconds(2));
@@ -266,10 +266,10 @@
     pool_stand_in pool(small_pool_settings(3));
     pool.start_leader();
     pool.run(seconds(1));
-    step_spec lasting = make_step(3, 4000, 0);
-    lasting.lasting = true;
-    lasting.per_host_limit = 1;
-    const submission_id id = pool.submit("plain", {lasting});
+    step_spec long_running = make_step(3, 4000, 0);
+    long_running.long_running = true;
+    long_running.per_host_limit = 1;
+    const submission_id id = pool.submit("plain", {long_running});
     pool.run(seconds(1));
     pool.crash("w1", "w1-again");
     pool.run(seconds(3));
@@ -287,10 +287,10 @@
     pool_stand_in pool(settings);
     pool.start_leader();
     pool.run(seconds(1));
-    step_spec lasting = make_step(8, 1000, 0);
-    lasting.lasting = true;
-    lasting.per_host_limit = 1;
-    const submission_id id = pool.submit("batch", {lasting});
+    step_spec long_running = make_step(8, 1000, 0);
+    long_running.long_running = true;
+    long_running.per_host_limit = 1;
+    const submission_id id = pool.submit("batch", {long_running});
     pool.run(seconds(1));
     BOOST_TEST(pool.state().find(id)->active == 8U);
     pool.run(seconds(3));
@@ -354,11 +354,11 @@
         pool.run(seconds(1));
         std::vector<submission_id> all;
         int incarnation_count = 0;
-        std::map<int, std::string> life;
+        std::map<int, std::string> incarnation;
         std::vector<std::string> former;
         for (int i = 0; i < 10; ++i)
         {
-            life[i] = "w" + std::to_string(i);
+            incarnation[i] = "w" + std::to_string(i);
         }
         for (int step = 0; step < 80; ++step)
         {
@@ -366,20 +366,20 @@
             switch (draw(17))
             {
             case 0:
-                pool.faults(life[w]).late = 0.3;
+                pool.faults(incarnation[w]).late = 0.3;
                 break;
             case 1:
-                pool.faults(life[w]).refuse = 0.3;
+                pool.faults(incarnation[w]).refuse = 0.3;
                 break;
             case 2:
-                pool.faults(life[w]).unresponsive = !pool.faults(life[w]).unresponsive;
+                pool.faults(incarnation[w]).unresponsive = !pool.faults(incarnation[w]).unresponsive;
                 break;
             case 3:
             {
                 const std::string next = "life" + std::to_string(++incarnation_count);
-                pool.crash(life[w], next, draw(2) == 0);
-                former.push_back(life[w]);
-                life[w] = next;
+                pool.crash(incarnation[w], next, draw(2) == 0);
+                former.push_back(incarnation[w]);
+                incarnation[w] = next;
                 break;
             }
             case 4:
@@ -402,7 +402,7 @@
                     "gangs", {make_step(static_cast<std::uint32_t>(2 + draw(6)), 4500, 1500, true)}));
                 break;
             case 16:
-                pool.faults(life[w]).reports_lost = false;
+                pool.faults(incarnation[w]).reports_lost = false;
                 break;
             case 15:
                 if (!former.empty())
@@ -411,7 +411,7 @@
                 }
                 break;
             case 14:
-                pool.faults(life[w]).resets = !pool.faults(life[w]).resets;
+                pool.faults(incarnation[w]).resets = !pool.faults(incarnation[w]).resets;
                 break;
             case 7:
                 all.push_back(pool.submit("urgent", {make_step(2, 2500, 600)}));
@@ -429,8 +429,8 @@
         }
         for (int i = 0; i < 10; ++i)
         {
-            pool.faults(life[i]) = worker_faults{};
-            pool.report(life[i], false);
+            pool.faults(incarnation[i]) = worker_faults{};
+            pool.report(incarnation[i], false);
         }
         pool.run(seconds(90));
         BOOST_TEST_CONTEXT("seed " << seed)
--- a/tests/src/unit-gang-reservations.cpp
+++ b/tests/src/unit-gang-reservations.cpp
@@ -23,14 +23,14 @@
 // Guards against choosing a host that has capacity later over hosts that are nearly free.
 BOOST_AUTO_TEST_CASE(the_hosts_with_room_soonest_are_reserved)
 {
-    const auto found = reserve_soonest({{worker_life_id{1}, {0, 900}, false},
-                                        {worker_life_id{2}, {300, 400}, false},
-                                        {worker_life_id{3}, {5000}, false}},
+    const auto found = reserve_soonest({{worker_incarnation_id{1}, {0, 900}, false},
+                                        {worker_incarnation_id{2}, {300, 400}, false},
+                                        {worker_incarnation_id{3}, {5000}, false}},
                                        3);
     BOOST_TEST_REQUIRE(found.has_value());
-    BOOST_TEST(found->tasks.at(worker_life_id{1}) == 1U);
-    BOOST_TEST(found->tasks.at(worker_life_id{2}) == 2U);
-    BOOST_TEST(!found->tasks.contains(worker_life_id{3}));
+    BOOST_TEST(found->tasks.at(worker_incarnation_id{1}) == 1U);
+    BOOST_TEST(found->tasks.at(worker_incarnation_id{2}) == 2U);
+    BOOST_TEST(!found->tasks.contains(worker_incarnation_id{3}));
     BOOST_TEST(found->ready_ms == 400.0);
 }
 
@@ -39,27 +39,27 @@
 {
     const auto choose = [](double other_ms)
     {
-        return reserve_soonest({{worker_life_id{1}, {other_ms}, false}, {worker_life_id{2}, {1000}, true}},
-                               1);
+        return reserve_soonest(
+            {{worker_incarnation_id{1}, {other_ms}, false}, {worker_incarnation_id{2}, {1000}, true}}, 1);
     };
-    BOOST_TEST(choose(700)->tasks.contains(worker_life_id{2}));
-    BOOST_TEST(choose(400)->tasks.contains(worker_life_id{1}));
+    BOOST_TEST(choose(700)->tasks.contains(worker_incarnation_id{2}));
+    BOOST_TEST(choose(400)->tasks.contains(worker_incarnation_id{1}));
 }
 
 // With capacity on all hosts at once, the reservation moved to the hosts that were freed last, for which
 // there were no tickets.
 BOOST_AUTO_TEST_CASE(a_reservation_whose_room_is_there_stays_where_it_is)
 {
-    const auto found =
-        reserve_soonest({{worker_life_id{1}, {0, 0}, false}, {worker_life_id{2}, {0, 0}, true}}, 2);
+    const auto found = reserve_soonest(
+        {{worker_incarnation_id{1}, {0, 0}, false}, {worker_incarnation_id{2}, {0, 0}, true}}, 2);
     BOOST_TEST_REQUIRE(found.has_value());
-    BOOST_TEST(found->tasks.at(worker_life_id{2}) == 2U);
+    BOOST_TEST(found->tasks.at(worker_incarnation_id{2}) == 2U);
 }
 
 // A gang that can never fit held capacity permanently and blocked the gangs behind it.
 BOOST_AUTO_TEST_CASE(nothing_is_reserved_where_not_all_tasks_ever_fit)
 {
-    BOOST_TEST(!reserve_soonest({{worker_life_id{1}, {0, 900}, false}}, 3).has_value());
+    BOOST_TEST(!reserve_soonest({{worker_incarnation_id{1}, {0, 900}, false}}, 3).has_value());
     BOOST_TEST(!reserve_soonest({}, 1).has_value());
 }
 
--- a/tests/src/unit-hall.cpp
+++ b/tests/src/unit-hall.cpp
@@ -100,7 +100,7 @@
 
 // Guards against ending a job with an unknown outcome when the worker's lease expired before the worker had
 // contacted the leader that placed the task.
-BOOST_AUTO_TEST_CASE(a_not_repeatable_task_whose_worker_was_never_told_of_it_runs_elsewhere)
+BOOST_AUTO_TEST_CASE(a_not_repeatable_task_never_sent_to_its_worker_runs_elsewhere)
 {
     for (const bool registers : {false, true})
     {
@@ -175,7 +175,7 @@
     BOOST_TEST(hall.state().jobs().at(spec.id).outcome == static_cast<std::uint8_t>(job_outcome::cancelled));
 }
 
-BOOST_AUTO_TEST_CASE(a_word_from_an_earlier_epoch_or_run_is_ignored)
+BOOST_AUTO_TEST_CASE(a_report_from_an_earlier_epoch_or_run_is_ignored)
 {
     hall_fixture hall;
     hall.add_workers(1, 4, 0);
@@ -233,7 +233,7 @@
 
 // Random jobs, reports, lost workers, drains, cancellations and stale plans: after each step the state is
 // consistent, and no job that is not repeatable has a second run.
-BOOST_AUTO_TEST_CASE(no_host_is_over_its_size_whatever_happens)
+BOOST_AUTO_TEST_CASE(random_commands_never_overcommit_a_host)
 {
     for (std::uint64_t seed = 1; seed <= 200; ++seed)
     {
@@ -306,7 +306,7 @@
 
 // The leader measures a lease from its answer, the worker from its request, so a delayed answer cannot extend
 // the lease at the worker.
-BOOST_AUTO_TEST_CASE(a_lease_is_over_at_the_worker_before_the_leader_counts_it_so)
+BOOST_AUTO_TEST_CASE(a_lease_expires_at_the_worker_before_the_leader)
 {
     const duration lease = seconds(10);
     for (const double drift : {-0.05, 0.0, 0.05})
@@ -321,7 +321,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_new_leader_waits_out_a_whole_lease_and_a_losing_worker_gets_no_grant)
+BOOST_AUTO_TEST_CASE(a_new_leader_waits_a_whole_lease_and_grants_none_to_an_expired_worker)
 {
     lease_table table(seconds(10), 0.05);
     const monotonic_time elected{seconds(50)};
--- a/tests/src/unit-lives.cpp
+++ b/tests/src/unit-lives.cpp
@@ -13,12 +13,12 @@
 namespace
 {
 // Fills one of two hosts with four tasks of 2.5 s.
-submission_id occupy(pool_stand_in& pool, const std::string& life)
+submission_id occupy(pool_stand_in& pool, const std::string& incarnation)
 {
     pool.report("w1", true);
     const submission_id id = pool.submit("plain", {make_step(4, 4000, 2500)});
     pool.run(milliseconds(200));
-    BOOST_TEST(pool.running_on(life) == 4U);
+    BOOST_TEST(pool.running_on(incarnation) == 4U);
     pool.report("w1", false);
     return id;
 }
@@ -130,17 +130,17 @@
     pool_stand_in pool(small_pool_settings(2));
     pool.start_leader();
     pool.run(seconds(1));
-    const worker_life& life = *pool.state().find_id("w0");
+    const worker_incarnation& incarnation = *pool.state().find_id("w0");
     pool.report("w0", true, 60'000);
-    BOOST_TEST(!life.leaving); // not committed yet
+    BOOST_TEST(!incarnation.leaving); // not committed yet
     pool.run(milliseconds(50));
-    BOOST_TEST(life.leaving);
-    pool.state().apply(0, mark_leaving{life.id, 0, false});
-    BOOST_TEST(life.leaving);
+    BOOST_TEST(incarnation.leaving);
+    pool.state().apply(0, mark_leaving{incarnation.id, 0, false});
+    BOOST_TEST(incarnation.leaving);
     pool.run(seconds(2));
     pool.report("w0", false);
     pool.run(milliseconds(50));
-    BOOST_TEST(!life.leaving);
+    BOOST_TEST(!incarnation.leaving);
 }
 
 // ---------------------------------------------------------------------------------------------------------
@@ -223,9 +223,16 @@
     return out;
 }
 
-worker_facts facts_of(const std::string& id, const std::string& host, std::int64_t born)
+worker_description facts_of(const std::string& id, const std::string& host, std::int64_t process_start)
 {
-    return {id, host, "10.0.0.1:1", "pool", "hall", {"kind", "rack"}, {4000, 4000, 0, 0}, birth_ms{born}};
+    return {id,
+            host,
+            "10.0.0.1:1",
+            "pool",
+            "hall",
+            {"kind", "rack"},
+            {4000, 4000, 0, 0},
+            process_start_ms{process_start}};
 }
 } // namespace
 
@@ -233,27 +240,27 @@
 {
     workload_state state;
     BOOST_REQUIRE(state.load(bytes_of(snapshot_without_births)));
-    const worker_life* known = state.find_id("a");
+    const worker_incarnation* known = state.find_id("a");
     BOOST_REQUIRE(known != nullptr);
     BOOST_TEST(known->leaving);
-    BOOST_TEST(known->listed_up_to == 5U);
+    BOOST_TEST(known->ends_recorded_up_to == 5U);
     BOOST_TEST(known->occupied.size() == 1U);
     BOOST_TEST(state.crashes().suspects().size() == 1U);
-    const auto former = static_cast<int>(workload_code::former_worker);
+    const auto former = static_cast<int>(workload_code::former_incarnation);
     BOOST_TEST(state.apply(0, admit_worker{facts_of("b", "host-b", 0), 1, false, {}}).code == former);
 
     // An incarnation with a process start time is a different one: runs ordered there may still exist,
     // everything else is reset.
     BOOST_TEST(state.apply(0, admit_worker{facts_of("a", "host-a", 77), 1, false, {}}).code == 0);
-    const worker_life* next = state.find_id("a");
+    const worker_incarnation* next = state.find_id("a");
     BOOST_REQUIRE(next != nullptr);
     BOOST_TEST(!next->leaving);
-    BOOST_TEST(next->listed_up_to == 0U);
+    BOOST_TEST(next->ends_recorded_up_to == 0U);
     BOOST_TEST(next->occupied.size() == 1U);
     BOOST_TEST((state.find(next->occupied.begin()->first.task)->worker == next->id));
 
     workload_state copy;
     BOOST_REQUIRE(copy.load(state.save()));
-    BOOST_TEST((copy.find_life({"a", birth_ms{77}}) != nullptr));
+    BOOST_TEST((copy.find_incarnation({"a", process_start_ms{77}}) != nullptr));
     BOOST_TEST(copy.apply(0, admit_worker{facts_of("a", "host-a", 0), 9, false, {}}).code == former);
 }
--- a/tests/src/unit-lost-workers.cpp
+++ b/tests/src/unit-lost-workers.cpp
@@ -20,10 +20,10 @@
     std::vector<std::string> out;
     for (std::size_t i = 0; i < workers; ++i)
     {
-        const std::string life = "w" + std::to_string(i);
-        if (pool.running_on(life) > 0)
+        const std::string incarnation = "w" + std::to_string(i);
+        if (pool.running_on(incarnation) > 0)
         {
-            out.push_back(life);
+            out.push_back(incarnation);
         }
     }
     return out;
@@ -169,11 +169,11 @@
     {
         pool.run(milliseconds(1));
     }
-    const std::string life = pool.state().find(pool.state().find(task)->worker)->facts.id;
-    pool.faults(life).unresponsive = true;
+    const std::string incarnation = pool.state().find(pool.state().find(task)->worker)->description.id;
+    pool.faults(incarnation).unresponsive = true;
     pool.run(milliseconds(2500)); // its ticket has expired by then
     BOOST_TEST_REQUIRE(pool.starts_of(task) == 0U);
-    pool.faults(life).unresponsive = false;
+    pool.faults(incarnation).unresponsive = false;
     pool.run(bounds.drop_and_commit + bounds.question + bounds.start);
     BOOST_TEST(pool.starts_of(task) == 1U);
 }
@@ -184,7 +184,7 @@
 // unresponsive at a given time.
 struct second_start
 {
-    std::string life;
+    std::string incarnation;
     monotonic_time at{};
 };
 
@@ -205,7 +205,7 @@
             pool.faults(silent).unresponsive = true;
         }
     }
-    return {pool.state().find(pool.state().find(task)->worker)->facts.id, pool.now()};
+    return {pool.state().find(pool.state().find(task)->worker)->description.id, pool.now()};
 }
 } // namespace
 
@@ -215,7 +215,7 @@
 {
     const second_start usual = play_second_start({}, {});
     const second_start with_silent =
-        play_second_start(usual.life, usual.at - milliseconds(1150)); // polls are held open for 1 s
-    BOOST_TEST(with_silent.life != usual.life);
+        play_second_start(usual.incarnation, usual.at - milliseconds(1150)); // polls are held open for 1 s
+    BOOST_TEST(with_silent.incarnation != usual.incarnation);
     BOOST_TEST((with_silent.at - usual.at < milliseconds(100)));
 }
--- a/tests/src/unit-never-back.cpp
+++ b/tests/src/unit-never-back.cpp
@@ -110,7 +110,7 @@
         for (int i = 0; m_load == load::lasting_tasks && i < 4; ++i)
         {
             step_spec step = make_step(3, 2000, 0);
-            step.lasting = true;
+            step.long_running = true;
             step.per_host_limit = 1;
             m_lasting.push_back(m_pool.submit(i % 2 == 0 ? "plain" : "batch", {step}));
         }
@@ -230,7 +230,7 @@
     [[nodiscard]] std::size_t count_live_workers() const
     {
         std::size_t out = 0;
-        for (const auto& [life, worker] : m_pool.workers())
+        for (const auto& [incarnation, worker] : m_pool.workers())
         {
             out += worker.terminated ? 0 : 1;
         }
@@ -239,9 +239,9 @@
     void say_that_some_leave()
     {
         m_leaving = pick_workers(2 + draw(3));
-        for (const std::string& life : m_leaving)
+        for (const std::string& incarnation : m_leaving)
         {
-            m_pool.report(life, true, 4000);
+            m_pool.report(incarnation, true, 4000);
         }
         m_pool.run(between(100, 1500));
     }
@@ -250,11 +250,11 @@
     {
         std::vector<std::string> busy;
         std::vector<std::string> idle;
-        for (const auto& [life, worker] : m_pool.workers())
+        for (const auto& [incarnation, worker] : m_pool.workers())
         {
             if (!worker.terminated)
             {
-                (worker.running.empty() ? idle : busy).push_back(life);
+                (worker.running.empty() ? idle : busy).push_back(incarnation);
             }
         }
         std::shuffle(busy.begin(), busy.end(), m_random);
@@ -286,11 +286,11 @@
         const bool refuses_connections = departure == way_to_go::refuses_connections ||
                                          departure == way_to_go::rack_refuses ||
                                          (departure == way_to_go::leaves && draw(2) == 0);
-        for (const std::string& life : removed)
+        for (const std::string& incarnation : removed)
         {
-            if (!m_pool.workers().at(life).terminated)
+            if (!m_pool.workers().at(incarnation).terminated)
             {
-                m_pool.remove_worker(life, refuses_connections);
+                m_pool.remove_worker(incarnation, refuses_connections);
             }
         }
     }
@@ -313,7 +313,7 @@
     [[nodiscard]] std::size_t running_of(submission_id id) const
     {
         std::size_t out = 0;
-        for (const auto& [life, worker] : m_pool.workers())
+        for (const auto& [incarnation, worker] : m_pool.workers())
         {
             for (const auto& [run, state] : worker.running)
             {
--- a/tests/src/unit-organisations.cpp
+++ b/tests/src/unit-organisations.cpp
@@ -26,11 +26,11 @@
 }
 
 // Queue "closed" requires keys, queue "open" does not. Hens are limited to three cores, geese have no limit.
-catalogue make_catalogue(std::uint64_t version)
+cluster_configuration make_catalogue(std::uint64_t version)
 {
-    catalogue out;
+    cluster_configuration out;
     out.version = version;
-    out.guarded = true;
+    out.keys_required = true;
     out.pools.push_back({"pool", false, false});
     for (const char* name : {"closed", "open"})
     {
@@ -55,7 +55,7 @@
 
     fixture()
     {
-        apply(replace_catalogue{make_catalogue(1)});
+        apply(replace_cluster_configuration{make_catalogue(1)});
         apply(admit_worker{{"a", "host-a", "10.0.0.1:1", "pool", "hall", {}, {8000, 8000, 0, 0}}});
     }
     workload_result apply(const workload_command& command)
@@ -65,7 +65,7 @@
     workload_result keep(std::uint64_t id, const std::string& organisation, std::uint32_t count,
                          bool gang = false)
     {
-        keep_submission command;
+        accept_submission command;
         command.id = submission_id{id};
         command.queue = "closed";
         command.organisation = organisation;
@@ -82,7 +82,7 @@
         record_starts command;
         for (std::uint32_t i = 0; i < count; ++i)
         {
-            command.starts.push_back({task_ref{{submission_id{id}}, i}, 1, worker_life_id{1}});
+            command.starts.push_back({task_ref{{submission_id{id}}, i}, 1, worker_incarnation_id{1}});
         }
         apply(command);
         return state.find(submission_id{id})->active;
@@ -111,27 +111,27 @@
 // Configuration
 // ---------------------------------------------------------------------------------------------------------
 
-BOOST_AUTO_TEST_CASE(a_proper_list_has_no_fault)
+BOOST_AUTO_TEST_CASE(a_valid_list_of_organisations_is_accepted)
 {
     BOOST_TEST(!fault_of({make_organisation("a", {"k", "l"}), make_organisation("b", {})}));
 }
 
-BOOST_AUTO_TEST_CASE(a_name_that_is_missing_or_stands_twice_is_a_fault)
+BOOST_AUTO_TEST_CASE(a_missing_or_duplicate_name_is_rejected)
 {
     BOOST_TEST(fault_of({make_organisation("", {})}).has_value());
     BOOST_TEST(fault_of({make_organisation("a", {}), make_organisation("a", {})}).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_key_is_one_organisations_once_and_has_a_proper_length)
+BOOST_AUTO_TEST_CASE(keys_are_unique_and_have_a_valid_length)
 {
     BOOST_TEST(fault_of({make_organisation("a", {"k"}), make_organisation("b", {"k"})}).has_value());
     BOOST_TEST(fault_of({make_organisation("a", {"k", "k"})}).has_value());
     BOOST_TEST(fault_of({make_organisation("a", {""})}).has_value());
-    BOOST_TEST(fault_of({make_organisation("a", {std::string(longest_key + 1, 'x')})}).has_value());
-    BOOST_TEST(!fault_of({make_organisation("a", {std::string(longest_key, 'x')})}).has_value());
+    BOOST_TEST(fault_of({make_organisation("a", {std::string(max_key_bytes + 1, 'x')})}).has_value());
+    BOOST_TEST(!fault_of({make_organisation("a", {std::string(max_key_bytes, 'x')})}).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_fault_names_the_place_and_tells_no_key)
+BOOST_AUTO_TEST_CASE(a_configuration_error_names_the_position_but_not_the_key)
 {
     const std::string fault =
         *fault_of({make_organisation("hens", {"secret"}), make_organisation("geese", {"other", "secret"})});
@@ -158,7 +158,7 @@
 // Access control
 // ---------------------------------------------------------------------------------------------------------
 
-BOOST_FIXTURE_TEST_CASE(a_held_key_opens_its_organisations_queue, fixture)
+BOOST_FIXTURE_TEST_CASE(a_known_key_identifies_its_organisation, fixture)
 {
     BOOST_TEST(ask("/closed/1", "hen-1").organisation == "hens");
     BOOST_TEST(ask("/closed/1", "hen-2").organisation == "hens");
@@ -173,7 +173,7 @@
     BOOST_TEST((ask("/nowhere/1", "hen-1").verdict == access_verdict::no_queue));
 }
 
-BOOST_FIXTURE_TEST_CASE(a_public_queue_wants_no_key_but_refuses_an_unknown_one, fixture)
+BOOST_FIXTURE_TEST_CASE(a_public_queue_needs_no_key_but_rejects_an_unknown_one, fixture)
 {
     BOOST_TEST(ask("/open/1", "").allowed());
     BOOST_TEST(ask("/open/1", "").organisation.empty());
@@ -181,7 +181,7 @@
     BOOST_TEST((ask("/open/1", "stale").verdict == access_verdict::unknown_key));
 }
 
-BOOST_AUTO_TEST_CASE(without_a_configuration_nobody_is_refused_for_good)
+BOOST_AUTO_TEST_CASE(without_a_configuration_calls_are_retryable)
 {
     const workload_state state;
     BOOST_TEST(
@@ -191,29 +191,29 @@
 BOOST_AUTO_TEST_CASE(a_configuration_without_organisations_asks_for_no_keys)
 {
     workload_state state;
-    catalogue held = make_catalogue(1);
-    held.guarded = false;
+    cluster_configuration held = make_catalogue(1);
+    held.keys_required = false;
     held.organisations.clear();
-    state.apply(noon, replace_catalogue{held});
+    state.apply(noon, replace_cluster_configuration{held});
     BOOST_TEST(decide_access(state, "example", "/closed/1", "").allowed());
 }
 
 BOOST_FIXTURE_TEST_CASE(a_new_version_adds_and_drops_keys_at_once, fixture)
 {
-    catalogue next = make_catalogue(2);
+    cluster_configuration next = make_catalogue(2);
     next.organisations[0].keys = {"hen-2", "hen-3"};
-    apply(replace_catalogue{next});
+    apply(replace_cluster_configuration{next});
     BOOST_TEST((ask("/closed/1", "hen-1").verdict == access_verdict::unknown_key));
     BOOST_TEST(ask("/closed/1", "hen-3").organisation == "hens");
     next = make_catalogue(3);
     next.organisations[0].keys.clear();
-    apply(replace_catalogue{next});
+    apply(replace_cluster_configuration{next});
     BOOST_TEST((ask("/closed/1", "hen-3").verdict == access_verdict::unknown_key));
-    apply(replace_catalogue{make_catalogue(4)});
+    apply(replace_cluster_configuration{make_catalogue(4)});
     BOOST_TEST(ask("/closed/1", "hen-1").organisation == "hens");
 }
 
-BOOST_FIXTURE_TEST_CASE(what_another_organisation_has_looks_like_nothing, fixture)
+BOOST_FIXTURE_TEST_CASE(submissions_of_another_organisation_are_not_visible, fixture)
 {
     keep(7, "hens", 1);
     BOOST_TEST(find_for_caller(state, ask("/closed/7", "hen-2"), submission_id{7}) != nullptr);
@@ -234,12 +234,12 @@
 // Limits
 // ---------------------------------------------------------------------------------------------------------
 
-BOOST_AUTO_TEST_CASE(places_count_the_scarcest_limit_and_none_where_there_is_none)
+BOOST_AUTO_TEST_CASE(tasks_within_limit_follows_the_tightest_limit)
 {
-    BOOST_TEST(places_within({3000, 0, 0, 0}, {}, {1000, 500, 0, 0}) == 3);
-    BOOST_TEST(places_within({3000, 900, 0, 0}, {}, {1000, 500, 0, 0}) == 1);
-    BOOST_TEST(places_within({3000, 0, 0, 0}, {3500, 0, 0, 0}, {1000, 0, 0, 0}) == 0);
-    BOOST_TEST(places_within({}, {9000, 9000, 9, 0}, {1000, 500, 1, 0}) == UINT32_MAX);
+    BOOST_TEST(tasks_within_limit({3000, 0, 0, 0}, {}, {1000, 500, 0, 0}) == 3);
+    BOOST_TEST(tasks_within_limit({3000, 900, 0, 0}, {}, {1000, 500, 0, 0}) == 1);
+    BOOST_TEST(tasks_within_limit({3000, 0, 0, 0}, {3500, 0, 0, 0}, {1000, 0, 0, 0}) == 0);
+    BOOST_TEST(tasks_within_limit({}, {9000, 9000, 9, 0}, {1000, 500, 1, 0}) == UINT32_MAX);
 }
 
 BOOST_FIXTURE_TEST_CASE(no_start_goes_over_a_limit_whatever_a_leader_proposes, fixture)
@@ -258,13 +258,13 @@
     BOOST_TEST(start(2, 3) == 3);
 }
 
-BOOST_FIXTURE_TEST_CASE(an_end_gives_back_and_a_lowered_limit_counts_for_the_next_start, fixture)
+BOOST_FIXTURE_TEST_CASE(an_end_releases_usage_and_a_lowered_limit_applies_to_the_next_start, fixture)
 {
     keep(1, "hens", 5);
     start(1, 5);
     const auto end = [this](std::uint32_t index)
     {
-        apply(record_ends{worker_life_id{1},
+        apply(record_ends{worker_incarnation_id{1},
                           0,
                           {observed_end{run_ref{{{submission_id{1}}, index}, 1},
                                         static_cast<std::uint8_t>(run_end::completed),
@@ -273,21 +273,21 @@
     BOOST_TEST(state.quotas().places("hens", {1000, 0, 0, 0}) == 0);
     end(0);
     BOOST_TEST(state.quotas().places("hens", {1000, 0, 0, 0}) == 1);
-    catalogue lower = make_catalogue(2);
+    cluster_configuration lower = make_catalogue(2);
     lower.organisations[0].limit.cpu = 2000;
-    apply(replace_catalogue{lower});
+    apply(replace_cluster_configuration{lower});
     BOOST_TEST(state.quotas().places("hens", {1000, 0, 0, 0}) == 0);
     end(1);
     BOOST_TEST(state.quotas().places("hens", {1000, 0, 0, 0}) == 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(an_organisation_that_is_gone_keeps_its_limit_for_the_work_it_has, fixture)
+BOOST_FIXTURE_TEST_CASE(a_removed_organisation_keeps_its_limit_for_running_work, fixture)
 {
     keep(1, "hens", 5);
     start(1, 5);
-    catalogue next = make_catalogue(2);
+    cluster_configuration next = make_catalogue(2);
     next.organisations.erase(next.organisations.begin());
-    apply(replace_catalogue{next});
+    apply(replace_cluster_configuration{next});
     BOOST_TEST(state.quotas().places("hens", {1000, 0, 0, 0}) == 0);
     BOOST_TEST((state.find(submission_id{1})->state() == submission_phase::running));
 }
@@ -305,13 +305,13 @@
 }
 
 // The command in the format of versions without organisations.
-BOOST_FIXTURE_TEST_CASE(an_older_log_entry_is_a_submission_of_nobody, fixture)
+BOOST_FIXTURE_TEST_CASE(an_older_log_entry_is_a_submission_without_organisation, fixture)
 {
     older_keep_submission older{submission_id{3}, "closed", {}};
     step_spec step;
     step.count = 1;
     older.spec.steps.push_back(step);
-    const auto read = decode<keep_submission>(encode(older));
+    const auto read = decode<accept_submission>(encode(older));
     BOOST_TEST_REQUIRE(ok(read));
     BOOST_TEST(apply(value_of(read)).code == 0);
     BOOST_TEST(state.find(submission_id{3})->organisation.empty());
--- a/tests/src/unit-pending.cpp
+++ b/tests/src/unit-pending.cpp
@@ -51,9 +51,10 @@
     pool.run(seconds(1));
     const submission_id id = pool.submit("plain", {make_step(1, 1000, 3000)});
     pool.run(milliseconds(12));
-    const worker_life& life = *pool.state().find_id("w0");
+    const worker_incarnation& incarnation = *pool.state().find_id("w0");
     pool.unlead();
-    pool.state().apply(0, record_starts{{planned_start{task_ref{{id, round_id{0}, 0}, 0}, 1, life.id}}});
+    pool.state().apply(0,
+                       record_starts{{planned_start{task_ref{{id, round_id{0}, 0}, 0}, 1, incarnation.id}}});
     BOOST_TEST(pool.state().queued("plain") == 0U);
     pool.start_leader();
     pool.report("w0", true, 60'000); // so that it is not started again
--- a/tests/src/unit-platform.cpp
+++ b/tests/src/unit-platform.cpp
@@ -73,8 +73,8 @@
     BOOST_TEST(spec.due_at(round_id{2}) == 1100);
     BOOST_TEST(spec.steps[0].preferred_rack == "r1-3");
     const step_spec& step = spec.steps[1];
-    BOOST_TEST((step.checkpoints && step.gang && step.same_rack && step.duplicates_allowed && step.lasting &&
-                step.fills));
+    BOOST_TEST((step.checkpoints && step.gang && step.same_rack && step.duplicates_allowed &&
+                step.long_running && step.fills));
     BOOST_TEST(step.required_label == "a");
     BOOST_TEST(step.per_host_limit == 1U);
     BOOST_TEST(step.size.accelerators == 1);
--- a/tests/src/unit-restarts.cpp
+++ b/tests/src/unit-restarts.cpp
@@ -115,12 +115,12 @@
     pool_stand_in pool(small_pool_settings(2));
     pool.start_leader();
     pool.run(settle_time);
-    for (const std::string life : {"w0", "w1"})
+    for (const std::string incarnation : {"w0", "w1"})
     {
-        pool.report(life, true);
+        pool.report(incarnation, true);
         pool.run(milliseconds(500));
-        pool.leave(life, [] {});
-        pool.restart(life, milliseconds(500));
+        pool.leave(incarnation, [] {});
+        pool.restart(incarnation, milliseconds(500));
         pool.run(seconds(1));
     }
     const auto all = submit_many(pool, 8, 300);
@@ -207,15 +207,15 @@
     for (int i = 0; i < 2; ++i)
     {
         pool.run(milliseconds(50));
-        for (const std::string life : {"w0", "w1"})
+        for (const std::string incarnation : {"w0", "w1"})
         {
-            pool.faults(life).unresponsive = true;
+            pool.faults(incarnation).unresponsive = true;
         }
         pool.run(milliseconds(1200));
-        for (const std::string life : {"w0", "w1"})
+        for (const std::string incarnation : {"w0", "w1"})
         {
-            BOOST_TEST(pool.running_on(life) == 0U);
-            pool.restart(life, milliseconds(300), true);
+            BOOST_TEST(pool.running_on(incarnation) == 0U);
+            pool.restart(incarnation, milliseconds(300), true);
         }
         pool.run(milliseconds(400));
     }
@@ -302,9 +302,9 @@
     pool.start_leader();
     pool.run(settle_time);
     worker_report foreign = pool.write_report("w0", false);
-    foreign.facts.id = "w7";
-    foreign.facts.host = "h7";
-    foreign.facts.born = {};
+    foreign.description.id = "w7";
+    foreign.description.host = "h7";
+    foreign.description.process_start = {};
     bool counted = false;
     pool.deliver(foreign,
                  [&counted]
@@ -367,7 +367,7 @@
     for (std::uint32_t index = 0; index < 6; ++index)
     {
         const task_ref task{{id, round_id{0}, 0}, index};
-        const suspicion* against = pool.state().crashes().find(task);
+        const crash_evidence* against = pool.state().crashes().find(task);
         BOOST_TEST((against == nullptr || against->crashes <= pool.crashes_under(task)), name_of(task));
     }
     pool.run(seconds(20));
@@ -404,9 +404,9 @@
                 std::vector<std::pair<std::string, std::size_t>> restarted;
                 for (std::size_t i = 0; i < std::max<std::size_t>(hosts * percent / 100, 1); ++i)
                 {
-                    const std::string life = "w" + std::to_string(i);
-                    restarted.emplace_back(life, pool.starts_on(life));
-                    pool.restart(life, milliseconds(400), i % 2 == 0);
+                    const std::string incarnation = "w" + std::to_string(i);
+                    restarted.emplace_back(incarnation, pool.starts_on(incarnation));
+                    pool.restart(incarnation, milliseconds(400), i % 2 == 0);
                 }
                 load(1); // they are down for most of it, and report at its end
                 pool.run(soon);
@@ -445,7 +445,7 @@
             std::vector<submission_id> all;
             for (int step = 0; step < 80; ++step)
             {
-                const std::string life = "w" + std::to_string(draw(12));
+                const std::string incarnation = "w" + std::to_string(draw(12));
                 switch (draw(12))
                 {
                 case 0:
@@ -459,13 +459,13 @@
                     }
                     break;
                 case 1:
-                    pool.restart(life, milliseconds(50 + draw(6000)), draw(2) == 0, draw(4) != 0);
+                    pool.restart(incarnation, milliseconds(50 + draw(6000)), draw(2) == 0, draw(4) != 0);
                     break;
                 case 2:
-                    pool.faults(life).late = draw(2) == 0 ? 0.3 : 0.0;
+                    pool.faults(incarnation).late = draw(2) == 0 ? 0.3 : 0.0;
                     break;
                 case 3:
-                    pool.faults(life).unresponsive = draw(2) == 0;
+                    pool.faults(incarnation).unresponsive = draw(2) == 0;
                     break;
                 case 4:
                     pool.unlead();
@@ -473,16 +473,16 @@
                     pool.start_leader();
                     break;
                 case 5:
-                    pool.report(life, true, 2000);
+                    pool.report(incarnation, true, 2000);
                     pool.run(milliseconds(draw(300)));
-                    pool.restart(life, milliseconds(200 + draw(2000)));
+                    pool.restart(incarnation, milliseconds(200 + draw(2000)));
                     break;
                 case 6:
                     all.push_back(pool.submit(
                         "gangs", {make_step(static_cast<std::uint32_t>(2 + draw(5)), 4500, 1200, true)}));
                     break;
                 case 7:
-                    pool.faults(life).reports_lost = false;
+                    pool.faults(incarnation).reports_lost = false;
                     break;
                 default:
                     all.push_back(pool.submit("batch", {make_step(static_cast<std::uint32_t>(1 + draw(6)),
--- a/tests/src/unit-rooms.cpp
+++ b/tests/src/unit-rooms.cpp
@@ -32,14 +32,14 @@
         view.answered = true;
         view.contact = worker_contact(now);
     }
-    [[nodiscard]] worker_life_id id(std::uint32_t number) const
+    [[nodiscard]] worker_incarnation_id id(std::uint32_t number) const
     {
         return state.find_id("w" + std::to_string(number))->id;
     }
 
     monotonic_time now{seconds(100)};
     workload_state state;
-    std::map<worker_life_id, worker_view> views;
+    std::map<worker_incarnation_id, worker_view> views;
     dispatch_settings settings;
     std::set<std::string> closed;
     host_table table{state, views, settings, closed};
@@ -83,7 +83,7 @@
 
 BOOST_FIXTURE_TEST_CASE(hosts_that_come_or_go_are_there_in_the_next_pass, table_fixture)
 {
-    const worker_life_id gone = id(0);
+    const worker_incarnation_id gone = id(0);
     state.apply(0, drop_worker{gone, true});
     views.erase(gone);
     admit(9, "b");
@@ -99,14 +99,14 @@
     const std::uint64_t begin = freed.position();
     for (const std::uint32_t host : {3U, 1U, 3U})
     {
-        freed.note(worker_life_id{host});
+        freed.note(worker_incarnation_id{host});
     }
-    BOOST_TEST((freed.since(begin) == std::vector{worker_life_id{1}, worker_life_id{3}}));
+    BOOST_TEST((freed.since(begin) == std::vector{worker_incarnation_id{1}, worker_incarnation_id{3}}));
     BOOST_TEST(freed.since(freed.position())->empty());
     const std::uint64_t later = freed.position();
     for (std::uint32_t host = 0; host < 100; ++host)
     {
-        freed.note(worker_life_id{host});
+        freed.note(worker_incarnation_id{host});
     }
     BOOST_TEST(!freed.since(later).has_value());
     BOOST_TEST(freed.since(freed.position() - 10)->size() == 10U);
--- a/tests/src/unit-root.cpp
+++ b/tests/src/unit-root.cpp
@@ -45,7 +45,7 @@
 }
 } // namespace
 
-BOOST_AUTO_TEST_CASE(of_equal_versions_one_wins)
+BOOST_AUTO_TEST_CASE(one_of_two_concurrent_changes_wins)
 {
     root_state root = with_template();
     BOOST_TEST(root.apply(1, make_change("a", 0, 3)).code == 0);
@@ -55,7 +55,7 @@
     BOOST_TEST(root.configurations().begin()->second.values.tasks == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(a_resend_gets_the_first_answer_and_starts_nothing)
+BOOST_AUTO_TEST_CASE(a_resend_gets_the_first_answer_and_starts_no_job)
 {
     root_state root = with_template();
     const root_result first = root.apply(1, make_change("a", 0));
@@ -104,7 +104,7 @@
     BOOST_TEST(root.apply(3, make_change("b", 2)).version.value() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(an_organisation_cannot_touch_the_others_work)
+BOOST_AUTO_TEST_CASE(an_organisation_cannot_change_work_of_another)
 {
     root_state root = with_template();
     const root_result made = root.apply(1, make_change("a", 0));
@@ -114,7 +114,7 @@
     BOOST_TEST(gone.code == static_cast<int>(state_code::unknown_name));
 }
 
-BOOST_AUTO_TEST_CASE(an_end_that_is_told_twice_counts_once)
+BOOST_AUTO_TEST_CASE(an_end_reported_twice_counts_once)
 {
     root_state root = with_template();
     put_configuration change = make_change("a", 0, 4);
@@ -150,7 +150,7 @@
     BOOST_TEST(copy.apply(2, make_change("a", 0)).version.value() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(halls_are_chosen_by_what_they_have)
+BOOST_AUTO_TEST_CASE(halls_are_chosen_by_free_capacity)
 {
     const hall_load empty{{100'000, 100'000, 0, 80}, {}, {16'000, 65'536, 0, 8}, {}};
     hall_load full = empty;
--- a/tests/src/unit-scheduler.cpp
+++ b/tests/src/unit-scheduler.cpp
@@ -26,7 +26,7 @@
 }
 } // namespace
 
-BOOST_AUTO_TEST_CASE(batch_work_packs)
+BOOST_AUTO_TEST_CASE(batch_tasks_are_packed_on_few_hosts)
 {
     hall_fixture hall;
     hall.add_workers(8, 4, 0);
@@ -50,7 +50,7 @@
     BOOST_TEST(racks.size() == 4U);
 }
 
-BOOST_AUTO_TEST_CASE(accelerators_are_kept_for_those_who_need_them)
+BOOST_AUTO_TEST_CASE(accelerator_hosts_are_kept_for_tasks_that_need_them)
 {
     hall_fixture hall;
     hall.add_workers(4, 4, 2);
@@ -67,7 +67,7 @@
     hall.add_workers(4, 4, 0);
     const job_id running = hall.submit(hall.make_job(workload_kind::batch, 2, whole));
     hall.plan_all();
-    hall.start_everything();
+    hall.start_all_runs();
     const job_id gang = hall.submit(hall.make_job(workload_kind::gang, 4, whole));
     hall.plan_all();
     BOOST_TEST(hall.running_in(gang) == 0U);
@@ -84,7 +84,7 @@
     hall.add_workers(2, 4, 0);
     hall.submit(hall.make_job(workload_kind::batch, 1, whole));
     hall.plan_all();
-    hall.start_everything();
+    hall.start_all_runs();
     const job_id gang = hall.submit(hall.make_job(workload_kind::gang, 2, whole));
     hall.plan_all();
     job_spec quick = hall.make_job(workload_kind::batch, 1, half);
@@ -116,32 +116,32 @@
 {
     hall_fixture hall;
     hall.add_workers(1, 4, 0);
-    const job_id loser = hall.submit(hall.make_job(workload_kind::batch, 2, half));
+    const job_id victim = hall.submit(hall.make_job(workload_kind::batch, 2, half));
     hall.plan_all();
-    hall.start_everything();
-    job_spec winner = hall.make_job(workload_kind::batch, 1, half);
-    winner.values.urgency = urgent;
-    hall.submit(winner);
+    hall.start_all_runs();
+    job_spec preemptor = hall.make_job(workload_kind::batch, 1, half);
+    preemptor.values.urgency = urgent;
+    hall.submit(preemptor);
     hall.plan();
     BOOST_REQUIRE_EQUAL(hall.last().stops.size(), 1U);
-    BOOST_TEST((hall.scheduler().reason_of(winner.id) == wait_reason::preempting));
+    BOOST_TEST((hall.scheduler().reason_of(preemptor.id) == wait_reason::preempting));
     hall.report(hall.last().stops[0].run, run_event::checkpointed);
     hall.plan_all();
-    BOOST_TEST(hall.running_in(winner.id) == 1U);
-    BOOST_TEST(hall.running_in(loser) == 1U);
+    BOOST_TEST(hall.running_in(preemptor.id) == 1U);
+    BOOST_TEST(hall.running_in(victim) == 1U);
 }
 
 // Preemption leaves the victim's organisation its guaranteed share: with equal weights, half of the hosts.
-BOOST_AUTO_TEST_CASE(preemption_leaves_the_losers_guarantee)
+BOOST_AUTO_TEST_CASE(preemption_leaves_the_victims_guaranteed_share)
 {
     hall_fixture hall;
     hall.add_workers(4, 4, 0);
-    const job_id loser = hall.submit(hall.make_job(workload_kind::batch, 4, whole, 1));
+    const job_id victim = hall.submit(hall.make_job(workload_kind::batch, 4, whole, 1));
     hall.plan_all();
-    hall.start_everything();
-    job_spec winner = hall.make_job(workload_kind::batch, 4, whole, 2);
-    winner.values.urgency = urgent;
-    hall.submit(winner);
+    hall.start_all_runs();
+    job_spec preemptor = hall.make_job(workload_kind::batch, 4, whole, 2);
+    preemptor.values.urgency = urgent;
+    hall.submit(preemptor);
     for (int i = 0; i < 10; ++i)
     {
         hall.plan();
@@ -151,11 +151,11 @@
         }
         hall.advance_time(20'000);
     }
-    BOOST_TEST(hall.running_in(loser) == 2U);
-    BOOST_TEST(hall.running_in(winner.id) == 2U);
+    BOOST_TEST(hall.running_in(victim) == 2U);
+    BOOST_TEST(hall.running_in(preemptor.id) == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(the_organisation_under_its_share_goes_first)
+BOOST_AUTO_TEST_CASE(the_organisation_furthest_below_its_share_goes_first)
 {
     hall_fixture hall;
     hall.add_workers(8, 4, 0);
@@ -166,13 +166,13 @@
     BOOST_TEST(hall.running_in(few) == 8U);
 }
 
-BOOST_AUTO_TEST_CASE(a_share_is_taken_back_after_a_while)
+BOOST_AUTO_TEST_CASE(a_share_is_reclaimed_after_a_delay)
 {
     hall_fixture hall;
     hall.add_workers(4, 4, 0);
     hall.submit(hall.make_job(workload_kind::batch, 4, whole, 1));
     hall.plan_all();
-    hall.start_everything();
+    hall.start_all_runs();
     const job_id late = hall.submit(hall.make_job(workload_kind::batch, 2, whole, 2));
     hall.plan();
     BOOST_TEST(hall.last().stops.empty());
@@ -196,7 +196,7 @@
     BOOST_TEST((hall.scheduler().reason_of(job.id) == wait_reason::quota));
 }
 
-BOOST_AUTO_TEST_CASE(what_can_never_run_says_so)
+BOOST_AUTO_TEST_CASE(a_task_too_large_for_every_host_is_reported)
 {
     hall_fixture hall;
     hall.add_workers(4, 4, 0);
@@ -230,7 +230,7 @@
 }
 
 // A scheduler rebuilt from the state has the same waiting jobs as one that applied every change.
-BOOST_AUTO_TEST_CASE(a_new_leaders_scheduler_knows_all)
+BOOST_AUTO_TEST_CASE(a_scheduler_rebuilt_from_the_state_has_all_waiting_jobs)
 {
     hall_fixture hall;
     fill(hall, 50);
--- a/tests/src/unit-sharing.cpp
+++ b/tests/src/unit-sharing.cpp
@@ -18,7 +18,7 @@
 step_spec make_serving(std::uint32_t count, std::int64_t target_ms)
 {
     step_spec step = make_step(count, 4000, 0);
-    step.lasting = true;
+    step.long_running = true;
     step.latency_target_ms = target_ms;
     step.per_host_limit = 1;
     return step;
@@ -42,10 +42,11 @@
     for (duration passed{0}; passed < span; passed += step)
     {
         pool.run(step);
-        for (const std::string& life : worker_ids)
+        for (const std::string& incarnation : worker_ids)
         {
-            over[life] = pool.tail_on(life) > target_ms ? over[life] + step : duration{0};
-            longest = std::max(longest, over[life]);
+            over[incarnation] =
+                pool.tail_on(incarnation) > target_ms ? over[incarnation] + step : duration{0};
+            longest = std::max(longest, over[incarnation]);
         }
     }
     return longest;
@@ -88,9 +89,9 @@
     pool.run(seconds(2));
     pool.submit("plain", {make_filling(2)});
     pool.run(seconds(2));
-    for (const std::string life : {"w0", "w1", "w2", "w3"})
+    for (const std::string incarnation : {"w0", "w1", "w2", "w3"})
     {
-        BOOST_TEST(pool.running_on(life) == 1U);
+        BOOST_TEST(pool.running_on(incarnation) == 1U);
     }
 }
 
--- a/tests/src/unit-standstill.cpp
+++ b/tests/src/unit-standstill.cpp
@@ -61,11 +61,12 @@
     {
         const step_spec& spec = m_gangs.at(id).spec;
         std::uint32_t sum = 0;
-        for (const auto& [life, worker] : m_workers)
+        for (const auto& [incarnation, worker] : m_workers)
         {
-            if (!worker.terminated && advisor_allows(step_ref{id, round_id{0}, 0}, life))
+            if (!worker.terminated && advisor_allows(step_ref{id, round_id{0}, 0}, incarnation))
             {
-                const resources room = worker.facts.size - (empty ? lasting_on(worker) : used_on(worker));
+                const resources room =
+                    worker.description.size - (empty ? lasting_on(worker) : used_on(worker));
                 sum += static_cast<std::uint32_t>(std::max<std::int64_t>(
                     0, std::min(room.cpu / spec.size.cpu, room.memory / spec.size.memory)));
             }
@@ -76,10 +77,10 @@
     {
         resources used;
         resources total;
-        for (const auto& [life, worker] : m_workers)
+        for (const auto& [incarnation, worker] : m_workers)
         {
             used += worker.terminated ? resources{} : used_on(worker);
-            total += worker.terminated ? resources{} : worker.facts.size;
+            total += worker.terminated ? resources{} : worker.description.size;
         }
         return dominant_share(used, total);
     }
@@ -98,7 +99,7 @@
         for (const auto& [run, state] : worker.running)
         {
             const step_spec* spec = m_state.find(run.task.step);
-            used += spec == nullptr ? resources{} : room_of(*spec);
+            used += spec == nullptr ? resources{} : host_demand_of(*spec);
         }
         return used;
     }
@@ -108,7 +109,7 @@
         for (const auto& [run, state] : worker.running)
         {
             const step_spec* spec = m_state.find(run.task.step);
-            used += spec != nullptr && spec->lasting ? room_of(*spec) : resources{};
+            used += spec != nullptr && spec->long_running ? host_demand_of(*spec) : resources{};
         }
         return used;
     }
--- a/tests/src/unit-waits.cpp
+++ b/tests/src/unit-waits.cpp
@@ -15,9 +15,9 @@
 {
   public:
     using pool_stand_in::pool_stand_in;
-    void refuse_looks(const std::string& life, order_outcome outcome)
+    void refuse_looks(const std::string& incarnation, order_outcome outcome)
     {
-        m_life = life;
+        m_life = incarnation;
         m_outcome = outcome;
     }
 
@@ -148,9 +148,9 @@
         pool_stand_in pool(settings);
         pool.start_leader();
         pool.run(seconds(3));
-        for (const char* life : {"w0", "w1", "w2", "w3"})
+        for (const char* incarnation : {"w0", "w1", "w2", "w3"})
         {
-            pool.faults(life).refuse = 0.5;
+            pool.faults(incarnation).refuse = 0.5;
         }
         for (int i = 0; i < 10; ++i)
         {
@@ -169,7 +169,7 @@
 BOOST_AUTO_TEST_CASE(a_wave_goes_on_behind_a_host_that_is_gone_for_good)
 {
     pool_settings settings = small_pool_settings(3);
-    settings.upkeep = seconds(2);
+    settings.maintenance = seconds(2);
     pool_stand_in pool(settings);
     pool.start_leader();
     pool.run(seconds(1));
@@ -177,8 +177,8 @@
     pool.begin_upkeep({"h0", "h1", "h2"}, 30, 1);
     pool.run(seconds(30));
     const auto& hosts = pool.state().waves().at(1).hosts;
-    BOOST_TEST(hosts.at("h1") == static_cast<std::uint8_t>(upkeep_phase::finished));
-    BOOST_TEST(hosts.at("h2") == static_cast<std::uint8_t>(upkeep_phase::finished));
+    BOOST_TEST(hosts.at("h1") == static_cast<std::uint8_t>(maintenance_phase::finished));
+    BOOST_TEST(hosts.at("h2") == static_cast<std::uint8_t>(maintenance_phase::finished));
     BOOST_TEST(pool.most_down() == 1U);
 }
 
@@ -189,7 +189,7 @@
     for (const milliseconds commit : {milliseconds(60), milliseconds(120), milliseconds(400)})
     {
         pool_settings settings = small_pool_settings(4);
-        settings.upkeep = seconds(2);
+        settings.maintenance = seconds(2);
         settings.commit = commit;
         pool_stand_in pool(settings);
         pool.start_leader();
@@ -209,7 +209,7 @@
 void check_limit_of_a_wave(milliseconds returns_after, bool next_leader)
 {
     pool_settings settings = small_pool_settings(4);
-    settings.upkeep = seconds(2);
+    settings.maintenance = seconds(2);
     settings.commit = milliseconds(400);
     pool_stand_in pool(settings);
     pool.start_leader();
--- a/tests/src/unit-wave-turns.cpp
+++ b/tests/src/unit-wave-turns.cpp
@@ -13,7 +13,7 @@
 step_spec make_lasting(std::uint32_t count, std::uint32_t may_miss)
 {
     step_spec step = make_step(count, 8000, 0);
-    step.lasting = true;
+    step.long_running = true;
     step.may_miss = may_miss;
     return step;
 }
@@ -24,7 +24,7 @@
 BOOST_AUTO_TEST_CASE(a_wave_goes_on_behind_a_host_that_it_may_not_empty)
 {
     pool_settings settings = small_pool_settings(3);
-    settings.upkeep = seconds(2);
+    settings.maintenance = seconds(2);
     pool_stand_in pool(settings);
     pool.start_leader();
     pool.run(seconds(1));
@@ -42,7 +42,7 @@
     pool.begin_upkeep({"h0", "h1", "h2"}, 20, 1);
     pool.run(seconds(20));
     const auto& hosts = pool.state().waves().at(1).hosts;
-    BOOST_TEST(hosts.at("h1") == static_cast<std::uint8_t>(upkeep_phase::finished));
-    BOOST_TEST(hosts.at("h2") == static_cast<std::uint8_t>(upkeep_phase::finished));
+    BOOST_TEST(hosts.at("h1") == static_cast<std::uint8_t>(maintenance_phase::finished));
+    BOOST_TEST(hosts.at("h2") == static_cast<std::uint8_t>(maintenance_phase::finished));
     check_unbroken(pool);
 }
--- a/tests/src/unit-workload.cpp
+++ b/tests/src/unit-workload.cpp
@@ -13,9 +13,9 @@
 {
 constexpr wall_ms noon = 1'700'000'000'000;
 
-catalogue make_catalogue(std::uint64_t version)
+cluster_configuration make_catalogue(std::uint64_t version)
 {
-    catalogue out;
+    cluster_configuration out;
     out.version = version;
     out.pools.push_back({"pool", false, false});
     queue_spec queue;
@@ -42,12 +42,12 @@
 struct fixture
 {
     workload_state state;
-    worker_life_id first{1};
-    worker_life_id second{2};
+    worker_incarnation_id first{1};
+    worker_incarnation_id second{2};
 
     fixture()
     {
-        apply(replace_catalogue{make_catalogue(1)});
+        apply(replace_cluster_configuration{make_catalogue(1)});
         for (const char* name : {"a", "b"})
         {
             apply(admit_worker{
@@ -60,17 +60,17 @@
     }
     workload_result keep(std::uint64_t id, std::vector<step_spec> steps)
     {
-        keep_submission command;
+        accept_submission command;
         command.id = submission_id{id};
         command.queue = "q";
         command.spec.steps = std::move(steps);
         return apply(command);
     }
-    void start(const task_ref& task, std::uint32_t run, worker_life_id worker)
+    void start(const task_ref& task, std::uint32_t run, worker_incarnation_id worker)
     {
         apply(record_starts{{planned_start{task, run, worker}}});
     }
-    void end(const task_ref& task, std::uint32_t run, worker_life_id worker, run_end how)
+    void end(const task_ref& task, std::uint32_t run, worker_incarnation_id worker, run_end how)
     {
         apply(record_ends{worker, 0, {observed_end{run_ref{task, run}, static_cast<std::uint8_t>(how), {}}}});
     }
@@ -98,13 +98,13 @@
 
 BOOST_FIXTURE_TEST_CASE(an_id_belongs_to_one_queue, fixture)
 {
-    catalogue next = make_catalogue(2);
+    cluster_configuration next = make_catalogue(2);
     next.queues.push_back(next.queues.front());
     next.queues.back().name = "other";
     next.queues.back().path_prefix = "/other/";
-    apply(replace_catalogue{next});
+    apply(replace_cluster_configuration{next});
     keep(1, {make_step(1)});
-    keep_submission again;
+    accept_submission again;
     again.id = submission_id{1};
     again.queue = "other";
     again.spec.steps = {make_step(1)};
@@ -139,7 +139,7 @@
     BOOST_TEST(state.ready().begin()->step == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_start_beyond_the_room_does_not_hold, fixture)
+BOOST_FIXTURE_TEST_CASE(a_start_beyond_the_capacity_is_rejected, fixture)
 {
     keep(1, {make_step(5)});
     for (std::uint32_t i = 0; i < 5; ++i)
@@ -163,7 +163,7 @@
     BOOST_TEST(state.find(first)->used.memory == 500);
 }
 
-BOOST_FIXTURE_TEST_CASE(the_room_is_held_until_the_end_is_recorded, fixture)
+BOOST_FIXTURE_TEST_CASE(resources_are_held_until_the_end_is_recorded, fixture)
 {
     keep(1, {make_step(1)});
     start(task(1, 0, 0), 1, first);
@@ -191,7 +191,7 @@
     BOOST_TEST(state.find(second)->used.cpu == 1000);
 }
 
-BOOST_FIXTURE_TEST_CASE(one_completed_member_stands_for_its_gang, fixture)
+BOOST_FIXTURE_TEST_CASE(one_completed_member_completes_its_gang, fixture)
 {
     keep(1, {make_step(2, true)});
     apply(record_starts{{{task(1, 0, 0), 1, first}, {task(1, 0, 1), 1, second}}});
@@ -241,7 +241,7 @@
     BOOST_TEST(state.find(second)->used.cpu == 1000);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_new_life_ends_the_runs_of_the_old_one, fixture)
+BOOST_FIXTURE_TEST_CASE(a_new_incarnation_with_another_id_ends_the_runs_of_the_former_one, fixture)
 {
     keep(1, {make_step(1)});
     start(task(1, 0, 0), 1, first);
@@ -251,18 +251,19 @@
     BOOST_TEST(state.workers().size() == 2U);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_late_report_of_a_former_life_changes_nothing, fixture)
+BOOST_FIXTURE_TEST_CASE(a_late_report_of_a_former_incarnation_changes_nothing, fixture)
 {
-    const worker_facts old{"a", "host-a", "10.0.0.1:1", "pool", "hall", {}, {4000, 4000, 0, 0}};
+    const worker_description old{"a", "host-a", "10.0.0.1:1", "pool", "hall", {}, {4000, 4000, 0, 0}};
     apply(admit_worker{{"a2", "host-a", "10.0.0.1:1", "pool", "hall", {}, {4000, 4000, 0, 0}}});
-    BOOST_TEST(apply(admit_worker{old}).code == static_cast<int>(workload_code::former_worker));
+    BOOST_TEST(apply(admit_worker{old}).code == static_cast<int>(workload_code::former_incarnation));
     BOOST_TEST(state.find_id("a2") != nullptr);
     workload_state copy;
     copy.load(state.save());
-    BOOST_TEST(copy.apply(noon, admit_worker{old}).code == static_cast<int>(workload_code::former_worker));
+    BOOST_TEST(copy.apply(noon, admit_worker{old}).code ==
+               static_cast<int>(workload_code::former_incarnation));
 }
 
-BOOST_FIXTURE_TEST_CASE(a_life_that_was_only_unheard_may_come_back, fixture)
+BOOST_FIXTURE_TEST_CASE(an_incarnation_that_was_unresponsive_may_return, fixture)
 {
     apply(drop_worker{first, false});
     BOOST_TEST(state.find_id("a") == nullptr);
@@ -273,9 +274,9 @@
 
 BOOST_FIXTURE_TEST_CASE(lasting_tasks_start_again_however_they_end, fixture)
 {
-    step_spec lasting = make_step(1);
-    lasting.lasting = true;
-    keep(1, {lasting});
+    step_spec long_running = make_step(1);
+    long_running.long_running = true;
+    keep(1, {long_running});
     for (std::uint32_t run = 1; run <= 5; ++run)
     {
         start(task(1, 0, 0), run, first);
@@ -284,7 +285,7 @@
     }
 }
 
-BOOST_FIXTURE_TEST_CASE(queued_counts_submissions_of_which_nothing_began, fixture)
+BOOST_FIXTURE_TEST_CASE(queued_counts_submissions_without_a_started_task, fixture)
 {
     keep(1, {make_step(1)});
     keep(2, {make_step(1)});
@@ -295,36 +296,37 @@
     BOOST_TEST(state.queued("q") == 0U);
 }
 
-BOOST_FIXTURE_TEST_CASE(the_highest_version_stays, fixture)
+BOOST_FIXTURE_TEST_CASE(the_highest_configuration_version_wins, fixture)
 {
-    apply(replace_catalogue{make_catalogue(7)});
-    catalogue other = make_catalogue(7);
+    apply(replace_cluster_configuration{make_catalogue(7)});
+    cluster_configuration other = make_catalogue(7);
     other.queues.front().timeout_ms = 1;
-    BOOST_TEST(apply(replace_catalogue{other}).code == 0);
-    BOOST_TEST(apply(replace_catalogue{make_catalogue(3)}).code == 0);
-    BOOST_TEST(state.held_catalogue()->version == 7U);
-    BOOST_TEST(state.held_catalogue()->queues.front().timeout_ms == 3000);
+    BOOST_TEST(apply(replace_cluster_configuration{other}).code == 0);
+    BOOST_TEST(apply(replace_cluster_configuration{make_catalogue(3)}).code == 0);
+    BOOST_TEST(state.current_configuration()->version == 7U);
+    BOOST_TEST(state.current_configuration()->queues.front().timeout_ms == 3000);
 }
 
 BOOST_FIXTURE_TEST_CASE(a_contradictory_configuration_is_refused_whole, fixture)
 {
-    catalogue no_pool = make_catalogue(9);
+    cluster_configuration no_pool = make_catalogue(9);
     no_pool.queues.front().pool = "nowhere";
-    catalogue same_place = make_catalogue(9);
+    cluster_configuration same_place = make_catalogue(9);
     same_place.queues.push_back(same_place.queues.front());
     same_place.queues.back().name = "second";
-    catalogue no_timeout = make_catalogue(9);
+    cluster_configuration no_timeout = make_catalogue(9);
     no_timeout.queues.front().timeout_ms = 0;
-    for (const catalogue& bad : {no_pool, same_place, no_timeout})
+    for (const cluster_configuration& bad : {no_pool, same_place, no_timeout})
     {
-        BOOST_TEST(apply(replace_catalogue{bad}).code == static_cast<int>(workload_code::bad_catalogue));
+        BOOST_TEST(apply(replace_cluster_configuration{bad}).code ==
+                   static_cast<int>(workload_code::bad_configuration));
     }
-    BOOST_TEST(state.held_catalogue()->version == 1U);
+    BOOST_TEST(state.current_configuration()->version == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(the_longest_prefix_of_the_host_is_found)
 {
-    catalogue held = make_catalogue(1);
+    cluster_configuration held = make_catalogue(1);
     held.queues.push_back(held.queues.front());
     held.queues.back().name = "deep";
     held.queues.back().path_prefix = "/q/deep/";
@@ -334,7 +336,7 @@
     BOOST_TEST(find_queue(held, "example", "/other/1") == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(names_are_read_as_they_are_written)
+BOOST_AUTO_TEST_CASE(task_names_round_trip)
 {
     const task_ref ref = task(0x5c0e7a21d94b36f8ULL, 1, 17);
     BOOST_TEST(name_of(ref) == "5c0e7a21d94b36f8.0.1.17");
@@ -349,7 +351,7 @@
 
 // Random commands: after each, the usage of a worker equals the sum over its runs and fits its size. A state
 // loaded from a snapshot has the same indexes.
-BOOST_AUTO_TEST_CASE(random_commands_keep_the_sums_and_survive_a_snapshot)
+BOOST_AUTO_TEST_CASE(random_commands_keep_usage_consistent_and_survive_a_snapshot)
 {
     for (std::uint64_t seed = 1; seed <= 60; ++seed)
     {
@@ -365,7 +367,7 @@
             const std::uint64_t id = 1 + draw(6);
             const task_ref ref =
                 task(id, static_cast<std::uint32_t>(draw(2)), static_cast<std::uint32_t>(draw(3)));
-            const worker_life_id worker{static_cast<std::uint32_t>(1 + draw(6))};
+            const worker_incarnation_id worker{static_cast<std::uint32_t>(1 + draw(6))};
             step_spec after = make_step(3, id % 2 == 0);
             after.after = {0};
             switch (draw(8))
@@ -397,15 +399,15 @@
             default:
                 f.start(ref, ++runs[ref], worker);
             }
-            for (const auto& [number, life] : f.state.workers())
+            for (const auto& [number, incarnation] : f.state.workers())
             {
                 resources sum{};
-                for (const auto& [run, room] : life.occupied)
+                for (const auto& [run, room] : incarnation.occupied)
                 {
                     sum += room;
                 }
-                BOOST_REQUIRE((sum == life.used));
-                BOOST_REQUIRE(fits(life.used, life.facts.size));
+                BOOST_REQUIRE((sum == incarnation.used));
+                BOOST_REQUIRE(fits(incarnation.used, incarnation.description.size));
             }
         }
         workload_state copy;
--- a/tests/src/worker_records.hpp
+++ b/tests/src/worker_records.hpp
@@ -28,9 +28,9 @@
     {
     }
 
-    worker_faults& faults(const std::string& life)
+    worker_faults& faults(const std::string& incarnation)
     {
-        return m_workers[life].faults;
+        return m_workers[incarnation].faults;
     }
     workload_state& state()
     {
@@ -47,14 +47,14 @@
         {
             return;
         }
-        catalogue next = *m_state.held_catalogue();
+        cluster_configuration next = *m_state.current_configuration();
         ++next.version;
         next.organisations.clear();
         for (const char* name : {"hens", "geese"})
         {
             next.organisations.push_back({name, {std::string(name) + "-key"}, 0, 10.0, limit});
         }
-        commit(replace_catalogue{next});
+        commit(replace_cluster_configuration{next});
         m_former_limit = m_limit;
         m_limit = limit;
         m_limited = m_now;
@@ -63,7 +63,7 @@
     [[nodiscard]] resources running_resources_of(const std::string& organisation) const
     {
         resources sum;
-        for (const auto& [life, worker] : m_workers)
+        for (const auto& [incarnation, worker] : m_workers)
         {
             for (const auto& [run, state] : worker.running)
             {
@@ -81,18 +81,18 @@
         const auto found = m_starts.find(task);
         return found == m_starts.end() ? 0 : found->second;
     }
-    [[nodiscard]] std::size_t starts_on(const std::string& life) const
+    [[nodiscard]] std::size_t starts_on(const std::string& incarnation) const
     {
-        const auto found = m_workers.find(life);
+        const auto found = m_workers.find(incarnation);
         return found == m_workers.end() ? 0 : found->second.starts;
     }
-    [[nodiscard]] std::size_t running_on(const std::string& life) const
+    [[nodiscard]] std::size_t running_on(const std::string& incarnation) const
     {
-        return m_workers.at(life).running.size();
+        return m_workers.at(incarnation).running.size();
     }
-    [[nodiscard]] std::int64_t tail_on(const std::string& life) const
+    [[nodiscard]] std::int64_t tail_on(const std::string& incarnation) const
     {
-        return tail_on(m_workers.at(life));
+        return tail_on(m_workers.at(incarnation));
     }
     // All incarnations that ever existed, with their actual state.
     [[nodiscard]] const auto& workers() const
@@ -104,9 +104,9 @@
         return m_state;
     }
     // Whether the runs listed there really execute.
-    [[nodiscard]] bool lease_holds_on(const std::string& life) const
+    [[nodiscard]] bool lease_holds_on(const std::string& incarnation) const
     {
-        return lease_holds(m_workers.at(life));
+        return lease_holds(m_workers.at(incarnation));
     }
     // Until when an unanswered order for the task may still be carried out.
     [[nodiscard]] monotonic_time may_come_until(const task_ref& task) const
@@ -144,7 +144,7 @@
     };
     struct sim_worker
     {
-        worker_facts facts;
+        worker_description description;
         worker_faults faults;
         duration clock_zero{}; // when its clock started counting
         bool terminated = false;
@@ -172,7 +172,7 @@
 
     void note_acknowledged(const worker_report& report)
     {
-        sim_worker& worker = m_workers[report.facts.id];
+        sim_worker& worker = m_workers[report.description.id];
         if (report.sequence < worker.acknowledged_sequence)
         {
             return;
@@ -237,9 +237,9 @@
         return tail;
     }
     // Null for a worker that does not answer.
-    sim_worker* find(const std::string& life)
+    sim_worker* find(const std::string& incarnation)
     {
-        const auto found = m_workers.find(life);
+        const auto found = m_workers.find(incarnation);
         const bool silent =
             found == m_workers.end() || found->second.terminated || found->second.faults.unresponsive;
         return silent ? nullptr : &found->second;
--- a/tests/src/worker_stand_in.hpp
+++ b/tests/src/worker_stand_in.hpp
@@ -14,16 +14,17 @@
 {
   public:
     // Makes one run there fail.
-    void fail_one(const std::string& life)
+    void fail_one(const std::string& incarnation)
     {
-        sim_worker& worker = m_workers[life];
+        sim_worker& worker = m_workers[incarnation];
         const run_ref run = worker.running.begin()->first; // a copy: `end` erases the entry
         end(worker, run, run_end::failed);
     }
     // Whether the advisor approves the worker for the step.
-    [[nodiscard]] bool advisor_allows(const step_ref& step, const std::string& life) const
+    [[nodiscard]] bool advisor_allows(const step_ref& step, const std::string& incarnation) const
     {
-        const std::size_t mixed = std::hash<std::string>{}(name_of(step) + m_workers.at(life).facts.host);
+        const std::size_t mixed =
+            std::hash<std::string>{}(name_of(step) + m_workers.at(incarnation).description.host);
         return static_cast<double>(mixed % 1000U) < m_settings.good_share * 1000.0;
     }
 
@@ -46,8 +47,9 @@
                                        [&to](const auto& item)
                                        {
                                            const sim_worker& worker = item.second;
-                                           return worker.facts.address == to.address && item.first != to.id &&
-                                                  !worker.terminated && !worker.faults.unresponsive;
+                                           return worker.description.address == to.address &&
+                                                  item.first != to.id && !worker.terminated &&
+                                                  !worker.faults.unresponsive;
                                        });
         const auto meant = m_workers.find(to.id);
         const bool refused = meant != m_workers.end() && meant->second.refuses_connections;
@@ -70,9 +72,9 @@
     static constexpr milliseconds connect_timeout{700};
     static constexpr milliseconds late_bound{12000}; // the platform's bound for unanswered orders
 
-    [[nodiscard]] double unsent_share(const std::string& life) const
+    [[nodiscard]] double unsent_share(const std::string& incarnation) const
     {
-        const auto worker = m_workers.find(life);
+        const auto worker = m_workers.find(incarnation);
         return worker == m_workers.end() ? 0.0 : worker->second.faults.unsent;
     }
     void handle_start(const start_task_order& order, const std::function<void(const order_answer&)>& handler,
@@ -98,10 +100,11 @@
                    handler({order_outcome::unanswered, {}, false});
                });
             at(milliseconds(2000 + static_cast<int>(random_fraction() * 10000)),
-               [this, order, born = worker->facts.born, outlives = worker->faults.late_outlives]
+               [this, order, process_start = worker->description.process_start,
+                outlives = worker->faults.late_outlives]
                {
                    const sim_worker* there = find(order.to.id);
-                   if (there != nullptr && (outlives || there->facts.born == born))
+                   if (there != nullptr && (outlives || there->description.process_start == process_start))
                    {
                        handle_start(
                            order, [](const order_answer&) {}, true);
@@ -156,7 +159,7 @@
             m_violations.push_back("started after its submission ended: " + name_of(order.run));
             return order_outcome::rejected;
         }
-        const queue_spec* queue = find_queue_by_name(*m_state.held_catalogue(), owner->queue);
+        const queue_spec* queue = find_queue_by_name(*m_state.current_configuration(), owner->queue);
         const auto ticket = m_tickets.find({order.run.task.step, order.to.id});
         if (queue->advised && (ticket == m_tickets.end() || ticket->second < m_now))
         {
@@ -167,7 +170,7 @@
         if (leaves && !late)
         {
             m_violations.push_back("started on a leaving worker: " + name_of(order.run) + " on " +
-                                   worker.facts.id);
+                                   worker.description.id);
         }
         begin(worker, order, *owner);
         if (!late)
@@ -187,30 +190,30 @@
         made.began = m_now;
         made.fails = worker.faults.fails_all || always_fails.contains(owner.id);
         made.length_ms = made.fails ? 100 : step.estimate_ms;
-        const bool ends = !worker.faults.stands_still && !step.lasting;
+        const bool ends = !worker.faults.stands_still && !step.long_running;
         if (ends && !step.gang)
         {
             const double length = static_cast<double>(made.length_ms) * worker.slowness;
-            finish_at(worker.facts.id, run, milliseconds(static_cast<std::int64_t>(length)));
+            finish_at(worker.description.id, run, milliseconds(static_cast<std::int64_t>(length)));
         }
         if (step.gang)
         {
             begin_gang(run, step, made.length_ms);
-            end_if_alone(worker.facts.id, run);
+            end_if_alone(worker.description.id, run);
         }
         if (crash_a_worker.contains(owner.id) && run.task.index == 0)
         {
             at(milliseconds(10),
-               [this, life = worker.facts.id, run]
+               [this, incarnation = worker.description.id, run]
                {
-                   if (m_workers[life].running.contains(run))
+                   if (m_workers[incarnation].running.contains(run))
                    {
-                       m_take_down(life);
+                       m_take_down(incarnation);
                    }
                });
         }
     }
-    std::function<void(const std::string& life)> m_take_down;
+    std::function<void(const std::string& incarnation)> m_take_down;
     // A gang starts to work when all members of one run are present, at the speed of its slowest member; then
     // all end together.
     void begin_gang(const run_ref& run, const step_spec& step, std::int64_t length_ms)
@@ -219,53 +222,55 @@
         for (std::uint32_t index = 0; index < step.count; ++index)
         {
             const run_ref member{task_ref{run.task.step, index}, run.run};
-            for (const std::string& life : m_workers_started_on[member.task])
+            for (const std::string& incarnation : m_workers_started_on[member.task])
             {
-                if (m_workers[life].running.contains(member))
+                if (m_workers[incarnation].running.contains(member))
                 {
-                    members.emplace_back(life, member);
+                    members.emplace_back(incarnation, member);
                 }
             }
         }
         double slowest = 1.0;
-        for (const auto& [life, member] : members)
+        for (const auto& [incarnation, member] : members)
         {
-            slowest = std::max(slowest, m_workers[life].slowness);
+            slowest = std::max(slowest, m_workers[incarnation].slowness);
         }
         const double length = static_cast<double>(length_ms) * slowest;
         if (members.size() == step.count)
         {
-            for (const auto& [life, member] : members)
+            for (const auto& [incarnation, member] : members)
             {
-                m_workers[life].running[member].assembled = true;
-                finish_at(life, member, milliseconds(static_cast<std::int64_t>(length)));
+                m_workers[incarnation].running[member].assembled = true;
+                finish_at(incarnation, member, milliseconds(static_cast<std::int64_t>(length)));
             }
         }
     }
     // A member waits only this long for the others.
-    void end_if_alone(const std::string& life, const run_ref& run)
+    void end_if_alone(const std::string& incarnation, const run_ref& run)
     {
         at(gang_patience,
-           [this, life, run, born = m_workers[life].facts.born]
+           [this, incarnation, run, process_start = m_workers[incarnation].description.process_start]
            {
-               sim_worker& worker = m_workers[life];
+               sim_worker& worker = m_workers[incarnation];
                const auto found = worker.running.find(run);
-               if (found != worker.running.end() && !found->second.assembled && worker.facts.born == born)
+               if (found != worker.running.end() && !found->second.assembled &&
+                   worker.description.process_start == process_start)
                {
                    end(worker, run, run_end::lonely);
                }
            });
     }
     static constexpr milliseconds gang_patience{3000}; // the platform's
-    void finish_at(const std::string& life, const run_ref& run, duration in)
+    void finish_at(const std::string& incarnation, const run_ref& run, duration in)
     {
         at(in,
-           [this, life, run, born = m_workers[life].facts.born]
+           [this, incarnation, run, process_start = m_workers[incarnation].description.process_start]
            {
-               sim_worker& worker = m_workers[life];
+               sim_worker& worker = m_workers[incarnation];
                lapse_if_over(worker);
                const auto found = worker.running.find(run);
-               if (found != worker.running.end() && !worker.terminated && worker.facts.born == born)
+               if (found != worker.running.end() && !worker.terminated &&
+                   worker.description.process_start == process_start)
                {
                    end(worker, run, found->second.fails ? run_end::failed : run_end::completed);
                }
@@ -274,34 +279,34 @@
     void check_start(const sim_worker& worker, const run_ref& run, const step_spec& step,
                      const submission& owner)
     {
-        for (const std::string& life : m_workers_started_on[run.task])
+        for (const std::string& incarnation : m_workers_started_on[run.task])
         {
-            const sim_worker& other = m_workers[life];
+            const sim_worker& other = m_workers[incarnation];
             const auto first = other.running.lower_bound(run_ref{run.task, 0});
             for (auto at = first; at != other.running.end() && at->first.task == run.task; ++at)
             {
                 if (!other.terminated && lease_holds(other))
                 {
                     m_violations.push_back("two runs at once: " + name_of(run) + " while " +
-                                           name_of(at->first) + " runs on " + life);
+                                           name_of(at->first) + " runs on " + incarnation);
                 }
             }
         }
-        m_workers_started_on[run.task].insert(worker.facts.id);
+        m_workers_started_on[run.task].insert(worker.description.id);
         m_last_start[run.task] = m_now;
         if (m_noted.contains(run.task))
         {
             m_violations.push_back("started after its completion was acknowledged: " + name_of(run));
         }
-        resources used = room_of(step);
+        resources used = host_demand_of(step);
         for (const auto& [other, state] : worker.running)
         {
             const step_spec* spec = m_state.find(other.task.step);
-            used += spec == nullptr ? resources{} : room_of(*spec);
+            used += spec == nullptr ? resources{} : host_demand_of(*spec);
         }
-        if (!fits(used, worker.facts.size))
+        if (!fits(used, worker.description.size))
         {
-            m_violations.push_back("capacity exceeded: " + name_of(run) + " on " + worker.facts.id);
+            m_violations.push_back("capacity exceeded: " + name_of(run) + " on " + worker.description.id);
         }
         for (const std::uint32_t earlier : step.after)
         {
@@ -329,7 +334,7 @@
             {worker.next_end++, run, how, how == run_end::completed ? std::string{} : "saved"});
         worker.ended_at[worker.next_end - 1] = m_now;
         const step_spec* spec = m_state.find(run.task.step);
-        if (how == run_end::completed && spec != nullptr && !spec->lasting)
+        if (how == run_end::completed && spec != nullptr && !spec->long_running)
         {
             m_completed_tasks.insert(run.task);
         }
@@ -371,11 +376,11 @@
         if (worker->running.contains(order.run))
         {
             at(milliseconds(200),
-               [this, life = order.to.id, run = order.run]
+               [this, incarnation = order.to.id, run = order.run]
                {
-                   if (m_workers[life].running.contains(run))
+                   if (m_workers[incarnation].running.contains(run))
                    {
-                       end(m_workers[life], run, run_end::stopped);
+                       end(m_workers[incarnation], run, run_end::stopped);
                    }
                });
         }
@@ -432,7 +437,7 @@
         lapse_if_over(*worker);
         // An incarnation other than the addressed one ignores the lease and the acknowledged ends of the
         // poll.
-        const bool meant = order.to.born == worker->facts.born;
+        const bool meant = order.to.process_start == worker->description.process_start;
         const std::uint64_t last_seen = meant ? order.last_seen : 0;
         extend_lease(*worker, meant ? order.until_ms.value_or(0) : 0);
         std::erase_if(worker->ended,
@@ -452,11 +457,11 @@
             return;
         }
         at(milliseconds(order.wait_ms),
-           [this, life = order.to.id, number]
+           [this, incarnation = order.to.id, number]
            {
-               if (m_workers[life].look_number == number)
+               if (m_workers[incarnation].look_number == number)
                {
-                   answer_look(m_workers[life]);
+                   answer_look(m_workers[incarnation]);
                }
            });
     }
@@ -473,7 +478,7 @@
         {
             m_violations.push_back(
                 "started again after its completion was acknowledged: " + name_of(item.run) + " on " +
-                worker.facts.id + ", ended at " +
+                worker.description.id + ", ended at " +
                 std::to_string(worker.ended_at.at(item.number).time_since_epoch().count() / 1000) +
                 ", started at " +
                 std::to_string(m_last_start[item.run.task].time_since_epoch().count() / 1000) + ", now " +
@@ -502,7 +507,7 @@
         }
         look_answer answer;
         answer.outcome = order_outcome::accepted;
-        answer.born = worker.facts.born;
+        answer.process_start = worker.description.process_start;
         answer.clock_ms = clock_of(worker);
         answer.ended = worker.ended;
         for (const auto& [run, state] : worker.running)
@@ -512,8 +517,8 @@
                                           (1000.0 * static_cast<double>(state.length_ms))
                                     : 0.0;
             const step_spec* spec = m_state.find(run.task.step);
-            const bool lasting = spec != nullptr && spec->lasting;
-            const auto percent = static_cast<std::int32_t>(lasting ? 100 : std::min(part, 1.0) * 100);
+            const bool long_running = spec != nullptr && spec->long_running;
+            const auto percent = static_cast<std::int32_t>(long_running ? 100 : std::min(part, 1.0) * 100);
             answer.running.push_back({run, "", percent, tail_on(worker)});
         }
         auto handler = std::exchange(worker.waiting_look, nullptr);
