--- a/bench/bench_leader.cpp
+++ b/bench/bench_leader.cpp
@@ -89,7 +89,7 @@
         std::vector<json> ended;
         std::uint64_t next_end = 1;
         std::function<void(web_answer)> waiting;
-        std::uint64_t look = 0;
+        std::uint64_t poll = 0;
     };
 
     static web_bounds bounds()
@@ -115,7 +115,7 @@
         const json body = json::parse(request.body);
         if (request.target == "/walkthread/hold")
         {
-            look(at, body, answer);
+            poll(at, body, answer);
             return;
         }
         if (request.target == "/walkthread/run-start")
@@ -137,7 +137,7 @@
                send_poll_answer(at);
            });
     }
-    void look(worker& at, const json& body, const std::function<void(web_answer)>& answer)
+    void poll(worker& at, const json& body, const std::function<void(web_answer)>& answer)
     {
         const auto seen = body["last-seen"].get<std::uint64_t>();
         std::erase_if(at.ended,
@@ -146,7 +146,7 @@
                           return end[0].get<std::uint64_t>() <= seen;
                       });
         at.waiting = answer;
-        const std::uint64_t number = ++at.look;
+        const std::uint64_t number = ++at.poll;
         if (!at.ended.empty() || !body.contains("wait-ms"))
         {
             send_poll_answer(at);
@@ -155,7 +155,7 @@
         in(milliseconds(body["wait-ms"].get<std::int64_t>()),
            [this, &at, number]
            {
-               if (at.look == number)
+               if (at.poll == number)
                {
                    send_poll_answer(at);
                }
@@ -195,10 +195,10 @@
 };
 
 /// A leader without other replicas and its load, in the proportions of the known workloads.
-class leader_run
+class leader_benchmark
 {
   public:
-    leader_run(std::size_t workers, double run_seconds)
+    leader_benchmark(std::size_t workers, double run_seconds)
         : m_workers(workers), m_seconds(run_seconds),
           m_folder(std::filesystem::temp_directory_path() / "walkthread-leader-bench"), m_timer(m_loop),
           m_client(m_loop, settings(), m_log)
@@ -401,7 +401,7 @@
         std::fprintf(stderr, "port %d is in use\n", worker_port);
         return 1;
     }
-    const int code = leader_run(workers, run_seconds).run();
+    const int code = leader_benchmark(workers, run_seconds).run();
     farm.close();
     return code;
 }
--- a/include/walkthread/dispatch/advice_book.hpp
+++ b/include/walkthread/dispatch/advice_book.hpp
@@ -21,7 +21,7 @@
 {
 
 /// @brief Maximum number of workers in one query; the advisor's limit.
-inline constexpr std::size_t most_asked = 100;
+inline constexpr std::size_t max_workers_per_question = 100;
 
 /// @brief When a ticket query was sent and when it was answered, on the leader's clock.
 struct advice_times
@@ -36,8 +36,8 @@
 {
     bool good{};
     std::string ticket;
-    monotonic_time sure_until{};  ///< if ticket validity starts with the query
-    monotonic_time valid_until{}; ///< if ticket validity starts with the answer
+    monotonic_time valid_until_from_question{}; ///< if ticket validity starts with the query
+    monotonic_time valid_until_from_answer{};   ///< if ticket validity starts with the answer
 };
 
 /// @brief What is known for one step.
@@ -45,14 +45,14 @@
 {
     /// A flat map, as it is iterated more often than modified.
     boost::container::flat_map<worker_incarnation_id, advice_entry> entries;
-    std::uint32_t open_questions{}; ///< several may be pending, each about other workers
+    std::uint32_t pending_questions{}; ///< several may be pending, each about other workers
     monotonic_time ask_after{};
-    duration last_took{}; ///< duration of the last query, including the wait for a process that sends it
+    duration last_duration{}; ///< duration of the last query, including the wait for a process that sends it
 };
 
 /// @brief All answers of the advisor, and the share of eligible workers by queue.
 /// @since 0.2
-class advice_book
+class advice_cache
 {
   public:
     /// @brief Returns the entry of a step; creates it if there is none.
@@ -67,16 +67,17 @@
               milliseconds validity);
     /// @brief Records that a worker refused a ticket that was considered valid here: from now on, validity is
     /// counted from the query.
-    void note_refused_ticket()
+    void record_refused_ticket()
     {
-        m_from_answer = false;
+        m_count_from_answer = false;
     }
     /// @brief The learned share of workers that may run a step of this queue, 0 to 1.
     [[nodiscard]] double good_share(const std::string& queue) const;
     /// @brief Whether a ticket stays valid for at least `margin`.
     [[nodiscard]] bool usable(const advice_entry& entry, monotonic_time now, milliseconds margin) const
     {
-        return entry.good && (m_from_answer ? entry.valid_until : entry.sure_until) > now + margin;
+        return entry.good && (m_count_from_answer ? entry.valid_until_from_answer
+                                                  : entry.valid_until_from_question) > now + margin;
     }
 
   private:
@@ -85,7 +86,7 @@
     /// Workers accept tickets for their whole validity, counted from the answer. For queries of gangs this is
     /// up to a second longer than counted from the query. None was refused in 61,000 starts (two days, 48 and
     /// 350 hosts).
-    bool m_from_answer = true;
+    bool m_count_from_answer = true;
 };
 
 } // namespace walkthread
--- a/include/walkthread/dispatch/candidate.hpp
+++ b/include/walkthread/dispatch/candidate.hpp
@@ -26,25 +26,25 @@
     const step_spec* step{};
     const queue_spec* queue{};
     pool_number pool{};
-    outlook expected_timeliness{};
+    timeliness expected_timeliness{};
     double slack_ms{};
     double run_ms = std::numeric_limits<double>::infinity(); ///< expected, for one task
     bool reserved{};                                         ///< a gang that has a reservation
     std::uint32_t permitted{};                               ///< tasks that its organisation may still start
-    bool lost_before{};                                      ///< a run of it was lost together with its host
+    bool lost_with_host{};                                   ///< a run of it was lost together with its host
     /// Tasks of this step and round that run on a host or are about to; set only if the step limits tasks per
     /// host.
     std::map<worker_incarnation_id, std::uint32_t> placed;
     [[nodiscard]] bool missed() const
     {
-        return expected_timeliness >= outlook::late;
+        return expected_timeliness >= timeliness::late;
     }
     [[nodiscard]] bool urgent() const
     {
         return queue != nullptr && queue->priority == 0;
     }
     /// Whether its advisor queries are sent before those of other steps.
-    [[nodiscard]] bool presses() const
+    [[nodiscard]] bool has_priority() const
     {
         return urgent() || step->long_running;
     }
@@ -52,37 +52,38 @@
 
 /// @brief Capacity held for a gang until all of its tasks can start together, or for large tasks until it is
 /// free.
-struct room_hold
+struct capacity_hold
 {
     std::map<worker_incarnation_id, std::uint32_t> tasks; ///< number of tasks on each host
     std::uint32_t total{};                                ///< the sum of `tasks`
     resources each{};                                     ///< what one task needs
     bool missed{};                                        ///< the gang was already late when the hold began
-    monotonic_time grew{};                                ///< when `total` last increased
-    bool gathers = true; ///< true for a gang that gathers capacity, false for hosts held for large tasks
-    bool ahead{};        ///< a reservation for all tasks of a gang, including capacity that is not free yet
-    bool first{};        ///< a reservation of the gang that has waited longest in its pool
+    monotonic_time last_growth{};                         ///< when `total` last increased
+    bool is_gathering = true; ///< true for a gang that gathers capacity, false for hosts held for large tasks
+    bool ahead{}; ///< a reservation for all tasks of a gang, including capacity that is not free yet
+    bool first{}; ///< a reservation of the gang that has waited longest in its pool
     /// Of a reservation: when all capacity is expected to be free, by the latest forecast.
     monotonic_time due{};
     monotonic_time earliest_due{}; ///< the earliest forecast of `due`: others may backfill until then only
 };
 
 /// @brief A worker that may take tasks of a step.
-struct host_offer
+struct host_candidate
 {
     const worker_incarnation* worker{};
-    resources room{};      ///< currently free
-    std::uint32_t slots{}; ///< tasks of the step that fit now
-    std::uint32_t whole{}; ///< tasks that would fit on the empty host
-    bool near_data{};      ///< in the rack that holds the data
-    bool held{};           ///< the capacity is held for a gang, this one or another
-    bool keeps_large{};    ///< a task there takes no capacity from gangs
-    double speed{};        ///< learned, 1 is typical
-    bool slow{};           ///< clearly slower than most
-    bool watched{};        ///< a crash suspect was started there recently
-    int doubt{};     ///< penalty if it may be unreachable although no call to it has failed: less is better
-    bool disturbs{}; ///< would put filling work beside serving work, or the reverse
-    std::string_view ticket; ///< "-" if none is needed, empty if there is no valid one
+    resources room{};          ///< currently free
+    std::uint32_t slots{};     ///< tasks of the step that fit now
+    std::uint32_t whole{};     ///< tasks that would fit on the empty host
+    bool near_data{};          ///< in the rack that holds the data
+    bool held{};               ///< the capacity is held for a gang, this one or another
+    bool spares_large_slots{}; ///< a task there takes no capacity from gangs
+    double speed{};            ///< learned, 1 is typical
+    bool slow{};               ///< clearly slower than most
+    bool watched{};            ///< a crash suspect was started there recently
+    int contact_penalty{}; ///< penalty if it may be unreachable although no call to it has failed: less is
+                           ///< better
+    bool mixes_serving_and_filling{}; ///< would put filling work beside serving work, or the reverse
+    std::string_view ticket;          ///< "-" if none is needed, empty if there is no valid one
     /// The last label names the rack.
     [[nodiscard]] std::string rack() const
     {
--- a/include/walkthread/dispatch/dispatcher.hpp
+++ b/include/walkthread/dispatch/dispatcher.hpp
@@ -99,7 +99,7 @@
 
   private:
     using candidate = step_candidate;
-    using offer = host_offer;
+    using offer = host_candidate;
 
     // dispatcher.cpp: the scheduling pass and the order of the candidates
     void sync_views(monotonic_time now);
@@ -134,7 +134,7 @@
                         const std::function<void(bool)>& done);
     void ask_who_lives_there(const worker_report& report, worker_incarnation_id present,
                              const std::function<void(bool)>& done);
-    void admit(const worker_report& report, const look_answer& answer, const std::function<void(bool)>& done);
+    void admit(const worker_report& report, const poll_answer& answer, const std::function<void(bool)>& done);
 
     // dispatcher_place.cpp: choice of workers
     [[nodiscard]] std::uint32_t permitted_tasks(const candidate& item) const;
@@ -180,27 +180,29 @@
     void hold_room(const candidate& item, monotonic_time now);
     [[nodiscard]] bool may_gather(const candidate& item) const;
     [[nodiscard]] std::uint32_t held_tasks(const step_ref& ref) const;
-    void set_hold(const step_ref& ref, room_hold next);
+    void set_hold(const step_ref& ref, capacity_hold next);
     void drop_hold(const step_ref& ref);
     void review_holds(monotonic_time now);
     bool learn_hosts(const candidate& item, monotonic_time now);
     void ask_for_gang(const candidate& item, monotonic_time now);
     [[nodiscard]] std::vector<worker_incarnation_id>
-    hosts_without_ticket(const candidate& item, const room_hold& hold, monotonic_time now);
-    [[nodiscard]] milliseconds question_time(const candidate& item, const room_hold& hold);
+    hosts_without_ticket(const candidate& item, const capacity_hold& hold, monotonic_time now);
+    [[nodiscard]] milliseconds question_time(const candidate& item, const capacity_hold& hold);
 
     // dispatcher_gang_reservations.cpp: reservations for gangs that have waited long
     [[nodiscard]] std::vector<candidate> gangs_by_waiting(const std::vector<candidate>& items,
                                                           monotonic_time now);
     [[nodiscard]] reservation_review begin_review(pool_number pool);
     void review_gangs(const std::vector<candidate>& items, monotonic_time now);
-    [[nodiscard]] host_outlook outlook_on(const candidate& item, const offer& o,
-                                          const std::map<step_ref, room_hold>& before, monotonic_time now);
+    [[nodiscard]] host_forecast outlook_on(const candidate& item, const offer& o,
+                                           const std::map<step_ref, capacity_hold>& before,
+                                           monotonic_time now);
     [[nodiscard]] std::optional<gang_reservation>
-    find_reservation(const candidate& item, const std::map<step_ref, room_hold>& before, monotonic_time now);
-    [[nodiscard]] room_hold make_reservation(const candidate& item, const gang_reservation& found,
-                                             monotonic_time now);
-    void set_reservations(std::map<step_ref, room_hold> next);
+    find_reservation(const candidate& item, const std::map<step_ref, capacity_hold>& before,
+                     monotonic_time now);
+    [[nodiscard]] capacity_hold make_reservation(const candidate& item, const gang_reservation& found,
+                                                 monotonic_time now);
+    void set_reservations(std::map<step_ref, capacity_hold> next);
     [[nodiscard]] bool has_reservation(const step_ref& ref) const;
     [[nodiscard]] resources reserved_for_others(const candidate& item, worker_incarnation_id host,
                                                 bool meantime, monotonic_time now) const;
@@ -212,7 +214,7 @@
     [[nodiscard]] std::size_t reserved_hosts(const candidate& item) const;
     [[nodiscard]] std::size_t most_reserved(const candidate& item);
     [[nodiscard]] std::vector<worker_incarnation_id>
-    hosts_soon_free(const candidate& item, const room_hold& hold, monotonic_time now);
+    hosts_soon_free(const candidate& item, const capacity_hold& hold, monotonic_time now);
     [[nodiscard]] std::vector<run_forecast> forecast_runs(const offer& o) const;
     [[nodiscard]] std::optional<double> time_until_room_on(const candidate& item, const offer& o) const;
     [[nodiscard]] std::optional<double> expected_left_ms(const run_ref& run, const run_view& known) const;
@@ -240,27 +242,27 @@
     void poll_rarely(worker_view& view, monotonic_time now) const;
     [[nodiscard]] duration longest_quiet() const;
     void ask_a_resting_worker(monotonic_time now);
-    static void end_rest(worker_view& view, monotonic_time now);
+    static void poll_promptly(worker_view& view, monotonic_time now);
     void note_look(const worker_view& view, bool lost, monotonic_time now);
     [[nodiscard]] bool looks_get_lost() const
     {
-        return m_lost_looks > m_settings.looks_lost_often && uses(mechanism::short_looks);
+        return m_lost_looks > m_settings.poll_loss_threshold && uses(mechanism::short_looks);
     }
-    void handle_poll_answer(worker_incarnation_id worker, const look_answer& answer, monotonic_time sent,
+    void handle_poll_answer(worker_incarnation_id worker, const poll_answer& answer, monotonic_time sent,
                             monotonic_time now);
-    void take_restart(worker_view& view, const look_answer& answer, monotonic_time now);
-    [[nodiscard]] std::vector<lost_run> lost_at_restart(const worker_view& former, const look_answer& answer,
+    void take_restart(worker_view& view, const poll_answer& answer, monotonic_time now);
+    [[nodiscard]] std::vector<lost_run> lost_at_restart(const worker_view& former, const poll_answer& answer,
                                                         monotonic_time now) const;
     void note_restart(const worker_view& former, process_start_ms process_start, std::string_view from,
                       monotonic_time now);
     void look_at_new_life(const worker_incarnation_ref& incarnation, monotonic_time now);
     void rule_out_late_starts(worker_view& view, monotonic_time now);
-    void take_runs(worker_view& view, const look_answer& answer, monotonic_time now);
-    void take_ends(worker_view& view, const look_answer& answer, monotonic_time sent, monotonic_time now);
+    void take_runs(worker_view& view, const poll_answer& answer, monotonic_time now);
+    void take_ends(worker_view& view, const poll_answer& answer, monotonic_time sent, monotonic_time now);
     void note_absent(const std::set<run_ref>& absent);
     void begin_recording(const record_ends& command);
     void end_recording(const record_ends& command);
-    void judge_end(worker_view& view, const listed_end& end, monotonic_time now);
+    void judge_end(worker_view& view, const reported_end& end, monotonic_time now);
     void drop_lost(monotonic_time now);
     [[nodiscard]] duration expected_run_time(const run_ref& run) const;
     [[nodiscard]] static monotonic_time lost_since(const worker_view& view, monotonic_time now);
@@ -296,7 +298,7 @@
     worker_view* view_of(worker_incarnation_id worker);
 
     // dispatcher_colocation.cpp: filling tasks on hosts with serving tasks
-    void pace_fillers(worker_view& view, const look_answer& answer, monotonic_time now);
+    void pace_fillers(worker_view& view, const poll_answer& answer, monotonic_time now);
     void slow_fillers(worker_view& view, monotonic_time now);
     void send_paces(worker_view& view, monotonic_time now);
     [[nodiscard]] bool may_end_lasting(const run_ref& run);
@@ -327,7 +329,7 @@
     monotonic_time m_waiting_due{};                        ///< next log line about the longest waiting step
     std::map<std::string, monotonic_time> m_doubted_racks; ///< when a host there was last suspected
     std::size_t m_unheard_runs = 0; ///< runs on workers that have not answered for longer than a lease
-    hearing_spell m_hearing;
+    contact_streak m_hearing;
     monotonic_time m_review_due{};
     monotonic_time m_full_due{}; ///< next pass over steps that are not urgent
     double m_lost_looks = 0.0;   ///< moving average of the share of polls that got no answer
@@ -335,10 +337,10 @@
     bool m_full_wanted = false;  ///< steps that are not urgent are waiting
     std::map<task_ref, worker_incarnation_id> m_planned; ///< starts that are being committed
     std::map<std::string, resources> m_planned_by;       ///< resources of these starts by organisation
-    unconfirmed_work m_unconfirmed;
-    advice_book m_advice;
-    objective_book m_objectives;
-    std::map<step_ref, room_hold> m_holds;           ///< capacity holds and reservations
+    unconfirmed_submissions m_unconfirmed;
+    advice_cache m_advice;
+    run_time_estimator m_objectives;
+    std::map<step_ref, capacity_hold> m_holds;       ///< capacity holds and reservations
     std::map<step_ref, monotonic_time> m_hold_after; ///< back-off of gangs whose hold expired
     std::map<step_ref, monotonic_time> m_gang_retry; ///< next placement attempt of gangs without a hold
     std::map<step_ref, monotonic_time> m_gang_since; ///< waiting gangs, and since when they wait
@@ -356,8 +358,8 @@
     std::set<std::string> m_upkeep_passed;                  ///< ordered hosts that no longer delay the others
     std::set<std::string> m_upkeep_hosts;                   ///< hosts being drained for maintenance
     host_table m_hosts;
-    suspect_watch m_suspects;
-    room_news m_news; ///< hosts on which capacity became free
+    suspect_isolation m_suspects;
+    freed_capacity_log m_news; ///< hosts on which capacity became free
     /// A step for which too little capacity was free.
     struct waiting_step
     {
--- a/include/walkthread/dispatch/gang_reservations.hpp
+++ b/include/walkthread/dispatch/gang_reservations.hpp
@@ -27,16 +27,16 @@
     /// Minimum wait of a gang, as a reservation takes capacity from work that is on time.
     milliseconds after{30000};
     milliseconds after_idle{1000}; ///< the same while the pool is idle: held capacity costs nothing then
-    double idle_below = 0.5;   ///< the pool counts as idle while a smaller share of its capacity is in use
-    double share = 0.25;       ///< maximum reserved share of the capacity of a pool that is not idle
-    std::size_t late = 1;      ///< maximum number of late gangs with reservations in a pool that is not idle
-    milliseconds review{100};  ///< interval between reviews; the shortest runs take a few times as long
-    std::size_t reviewed = 16; ///< maximum number of gangs examined in one review
-    double backfill_spare = 1.5; ///< safety factor on the expected run time of a task that backfills
+    double idle_threshold = 0.5; ///< the pool counts as idle while a smaller share of its capacity is in use
+    double share = 0.25;         ///< maximum reserved share of the capacity of a pool that is not idle
+    std::size_t late = 1;     ///< maximum number of late gangs with reservations in a pool that is not idle
+    milliseconds review{100}; ///< interval between reviews; the shortest runs take a few times as long
+    std::size_t max_reviewed = 16;       ///< maximum number of gangs examined in one review
+    double backfill_safety_factor = 1.5; ///< safety factor on the expected run time of a task that backfills
 };
 
 /// @brief When a host has capacity for one, two, ... tasks of a gang.
-struct host_outlook
+struct host_forecast
 {
     worker_incarnation_id worker{};
     std::vector<double> ready_ms; ///< from now, ascending
@@ -54,8 +54,8 @@
 /// half, so that inaccurate forecasts don't move a reservation back and forth.
 /// @return no value if the hosts never have capacity for all tasks
 /// Complexity: n log n in the tasks that fit on the hosts.
-[[nodiscard]] std::optional<gang_reservation> reserve_soonest(const std::vector<host_outlook>& hosts,
-                                                              std::uint32_t count);
+[[nodiscard]] std::optional<gang_reservation> choose_earliest_hosts(const std::vector<host_forecast>& hosts,
+                                                                    std::uint32_t count);
 
 /// @brief One review of the gangs that wait in a pool, in the order in which they began to wait.
 class reservation_review
--- a/include/walkthread/dispatch/gathering.hpp
+++ b/include/walkthread/dispatch/gathering.hpp
@@ -17,14 +17,14 @@
 {
 
 /// @brief Limits on gangs that gather.
-struct gathering_bounds
+struct gathering_limits
 {
     std::size_t min_gangs = 2; ///< this many may gather in any pool, however small
     double share = 0.1;        ///< maximum share of the pool's capacity that more gangs may want together
 };
 
 /// @brief Gangs that gather and don't have enough yet.
-struct gathering_work
+struct gathering_demand
 {
     std::size_t gangs{};
     resources wanted{}; ///< resources of all of their tasks
@@ -33,8 +33,8 @@
 /// @brief Whether one more gang may begin to gather. Complexity: constant.
 /// @param own resources of all tasks of that gang
 /// @param pool capacity of all hosts of its pool
-[[nodiscard]] inline bool may_join_gathering(const gathering_work& others, const resources& own,
-                                             const resources& pool, const gathering_bounds& bounds)
+[[nodiscard]] inline bool may_start_gathering(const gathering_demand& others, const resources& own,
+                                              const resources& pool, const gathering_limits& bounds)
 {
     return others.gangs < bounds.min_gangs || dominant_share(others.wanted + own, pool) <= bounds.share;
 }
--- a/include/walkthread/dispatch/host_reason.hpp
+++ b/include/walkthread/dispatch/host_reason.hpp
@@ -15,7 +15,7 @@
 {
 
 /// @brief The reason why a worker gets no new work. If several apply, the first in this order is reported.
-enum class host_reason : std::uint8_t
+enum class host_availability : std::uint8_t
 {
     usable,     ///< it may get new work
     dropped,    ///< the command that drops it waits for its commit
@@ -29,12 +29,13 @@
 };
 
 /// @brief The names used in logs and metrics, in the order of `host_availability`.
-inline constexpr std::array<std::string_view, 9> host_reason_names{
+inline constexpr std::array<std::string_view, 9> host_availability_names{
     "usable", "dropped", "unanswered", "unreported", "silent", "doubted", "leaving", "avoided", "closed"};
 
 /// @brief Whether a worker may get new work, or why not. Complexity: constant.
 /// @param closed whether its host is being drained
-[[nodiscard]] host_reason availability_of(const worker_view& view, const worker_incarnation& worker,
-                                          bool closed, monotonic_time now, const dispatch_settings& settings);
+[[nodiscard]] host_availability availability_of(const worker_view& view, const worker_incarnation& worker,
+                                                bool closed, monotonic_time now,
+                                                const dispatch_settings& settings);
 
 } // namespace walkthread
--- a/include/walkthread/dispatch/host_table.hpp
+++ b/include/walkthread/dispatch/host_table.hpp
@@ -30,11 +30,11 @@
     const worker_incarnation* worker{};
     const worker_view* view{};
     pool_number pool{};
-    resources open{};      ///< not occupied by runs
-    resources free{};      ///< `open` without what is held for gangs
-    host_reason reason{};  ///< why it gets no new work
-    bool usable{};         ///< it may get new work
-    std::uint64_t stamp{}; ///< the pass in which the row was computed
+    resources open{};           ///< not occupied by runs
+    resources free{};           ///< `open` without what is held for gangs
+    host_availability reason{}; ///< why it gets no new work
+    bool usable{};              ///< it may get new work
+    std::uint64_t stamp{};      ///< the pass in which the row was computed
 };
 
 /// @brief All hosts as seen by a pass. Owned by one dispatcher.
@@ -76,7 +76,7 @@
 
   private:
     void rebuild();
-    void work_out(host_row& row) const;
+    void recompute(host_row& row) const;
 
     const workload_state& m_state;
     const std::map<worker_incarnation_id, worker_view>& m_views;
@@ -86,7 +86,7 @@
     std::unordered_map<worker_incarnation_id, std::size_t> m_places;
     std::map<std::string, pool_number> m_pools;
     std::map<pool_number, std::size_t> m_usable; ///< in the current pass
-    std::map<pool_number, resources> m_rooms;
+    std::map<pool_number, resources> m_capacities;
     std::unordered_map<worker_incarnation_id, resources> m_held;
     std::uint64_t m_version = 0; ///< of the state's workers when the rows were built
     std::uint64_t m_pass = 0;
--- a/include/walkthread/dispatch/lost_runs.hpp
+++ b/include/walkthread/dispatch/lost_runs.hpp
@@ -20,8 +20,8 @@
 /// @param lost_at when the host was first found not to answer; a run that was due to end by then may have
 /// ended before the crash
 /// @param run_time returns the expected run time
-[[nodiscard]] std::vector<lost_run> share_blame(const worker_view& view, duration just_began,
-                                                monotonic_time lost_at,
-                                                const std::function<duration(const run_ref&)>& run_time);
+[[nodiscard]] std::vector<lost_run> assign_blame(const worker_view& view, duration startup_crash_window,
+                                                 monotonic_time lost_at,
+                                                 const std::function<duration(const run_ref&)>& run_time);
 
 } // namespace walkthread
--- a/include/walkthread/dispatch/orders.hpp
+++ b/include/walkthread/dispatch/orders.hpp
@@ -21,21 +21,21 @@
 enum class order_outcome : std::uint8_t
 {
     accepted,
-    fenced,      ///< the worker has seen a higher fencing token
-    outdated,    ///< this run or a newer one of the task was stopped or ended there
-    late,        ///< the order had expired
-    no_room,     ///< the worker checks its capacity and has none
-    bad_ticket,  ///< the worker does not accept the advisor's ticket, or not any more
-    unhealthy,   ///< the worker did not carry out the order and reports that it can't
-    other_life,  ///< another incarnation of a worker answers at this address
-    rejected,    ///< the worker can't parse the order
-    unanswered,  ///< it may have been carried out, or may be later
+    fenced,            ///< the worker has seen a higher fencing token
+    superseded,        ///< this run or a newer one of the task was stopped or ended there
+    late,              ///< the order had expired
+    no_room,           ///< the worker checks its capacity and has none
+    ticket_rejected,   ///< the worker does not accept the advisor's ticket, or not any more
+    unhealthy,         ///< the worker did not carry out the order and reports that it can't
+    wrong_incarnation, ///< another incarnation of a worker answers at this address
+    rejected,          ///< the worker can't parse the order
+    unanswered,        ///< it may have been carried out, or may be later
     unreachable, ///< the worker's address accepted no connection: it was not carried out and never will be
     not_sent,    ///< no connection or no time was left here: it was not carried out and never will be
 };
 
 /// @brief Whether a call with this outcome was certainly not carried out and never will be.
-[[nodiscard]] constexpr bool never_left(order_outcome outcome)
+[[nodiscard]] constexpr bool surely_not_executed(order_outcome outcome)
 {
     return outcome == order_outcome::unreachable || outcome == order_outcome::not_sent;
 }
@@ -60,7 +60,7 @@
     std::string checkpoint;
     std::string ticket;
     /// Urgent, or part of a gang that waits for all its members: goes first if connections are scarce.
-    bool presses{};
+    bool has_priority{};
 };
 
 /// @brief Stops one run.
@@ -82,7 +82,7 @@
 ///
 /// It is addressed to one incarnation. If another incarnation is found at the address, that one gets a plain
 /// query instead, which neither renews a lease nor confirms ends, and answers with its runs.
-struct look_order
+struct poll_order
 {
     worker_address to;
     std::optional<std::int64_t> until_ms; ///< on the worker's clock
@@ -100,7 +100,7 @@
 };
 
 /// @brief A run that a worker reports as active.
-struct listed_run
+struct reported_run
 {
     run_ref run{};
     std::string checkpoint;
@@ -109,7 +109,7 @@
 };
 
 /// @brief The end of a run as reported by a worker.
-struct listed_end
+struct reported_end
 {
     std::uint64_t number{};
     run_ref run{};
@@ -118,13 +118,13 @@
 };
 
 /// @brief The answer to a poll.
-struct look_answer
+struct poll_answer
 {
     order_outcome outcome{};
     process_start_ms process_start{}; ///< start time of the incarnation that answered
     std::int64_t clock_ms{};
-    std::vector<listed_run> running;
-    std::vector<listed_end> ended;
+    std::vector<reported_run> running;
+    std::vector<reported_end> ended;
 };
 
 /// @brief A query to the placement advisor.
@@ -169,7 +169,7 @@
 struct dispatch_hooks
 {
     std::function<void(workload_command, std::function<void(bool committed)>)> propose;
-    std::function<void(const look_order&, std::function<void(const look_answer&)>)> look;
+    std::function<void(const poll_order&, std::function<void(const poll_answer&)>)> poll;
     std::function<void(const start_task_order&, std::function<void(const order_answer&)>)> start;
     std::function<void(const stop_task_order&, std::function<void(const order_answer&)>)> stop;
     std::function<void(const pace_task_order&, std::function<void(const order_answer&)>)> pace;
--- a/include/walkthread/dispatch/room_forecast.hpp
+++ b/include/walkthread/dispatch/room_forecast.hpp
@@ -26,8 +26,8 @@
 /// @return 0 if it fits now; no value if it does not fit even after the end of all runs that end by
 /// themselves
 /// Complexity: n log n in the runs.
-[[nodiscard]] std::optional<double> time_until_room(const resources& open, std::vector<run_forecast> runs,
-                                                    const resources& need);
+[[nodiscard]] std::optional<double> time_until_fit(const resources& open, std::vector<run_forecast> runs,
+                                                   const resources& need);
 
 /// @brief The times in milliseconds after which one, two, ... tasks fit, if nothing new starts there.
 /// @param slots returns how many tasks fit into a given capacity
@@ -35,7 +35,7 @@
 /// @return ascending; fewer than `most` if no more fit even after the end of all runs that end by themselves
 /// Complexity: n log n in the runs, and a call of `slots` for each.
 [[nodiscard]] std::vector<double>
-times_until_slots(const resources& open, std::vector<run_forecast> runs,
-                  const std::function<std::uint32_t(const resources&)>& slots, std::uint32_t most);
+times_until_slots_fit(const resources& open, std::vector<run_forecast> runs,
+                      const std::function<std::uint32_t(const resources&)>& slots, std::uint32_t most);
 
 } // namespace walkthread
--- a/include/walkthread/dispatch/room_news.hpp
+++ b/include/walkthread/dispatch/room_news.hpp
@@ -17,12 +17,12 @@
 
 /// @brief A bounded log of hosts on which capacity was freed, oldest first.
 /// @since 0.3
-class room_news
+class freed_capacity_log
 {
   public:
     /// @param kept minimum number of entries that are kept; a reader whose position is older examines all
     /// hosts again
-    explicit room_news(std::size_t kept) : m_kept(kept)
+    explicit freed_capacity_log(std::size_t kept) : m_kept(kept)
     {
     }
 
--- a/include/walkthread/dispatch/suspect_watch.hpp
+++ b/include/walkthread/dispatch/suspect_watch.hpp
@@ -20,13 +20,13 @@
 
 /// @brief The hosts on which a crash suspect was started recently. Owned by one dispatcher.
 /// @since 0.4
-class suspect_watch
+class suspect_isolation
 {
   public:
     /// @param watch_period how long a host is watched after the start of a suspect; a suspect that has not
     /// crashed its host by then is treated like other work
-    suspect_watch(const crash_evidence_table& crashes, duration watch_period)
-        : m_crashes(crashes), m_lasts(watch_period)
+    suspect_isolation(const crash_evidence_table& crashes, duration watch_period)
+        : m_crashes(crashes), m_watch_period(watch_period)
     {
     }
 
@@ -39,14 +39,15 @@
     /// @brief Records that a suspect is about to be started on a host.
     void note_start(worker_incarnation_id worker, submission_id owner, monotonic_time now);
     /// @brief Records that a run of the task was lost with its host.
-    void note_loss(const task_ref& task, monotonic_time now);
+    void record_loss(const task_ref& task, monotonic_time now);
     /// @brief Whether a task is in back-off until it is known whether its last hosts crashed or were
     /// partitioned. This begins with the third loss and takes longer after each further one. Complexity:
     /// logarithmic in the suspects.
     [[nodiscard]] bool in_backoff(const task_ref& task, monotonic_time now) const;
     /// @brief Whether a suspect of another submission than `owner` was started on the host recently, or runs
     /// there alone.
-    [[nodiscard]] bool watches(worker_incarnation_id worker, submission_id owner, monotonic_time now) const;
+    [[nodiscard]] bool has_foreign_suspect(worker_incarnation_id worker, submission_id owner,
+                                           monotonic_time now) const;
 
   private:
     struct watch
@@ -56,7 +57,7 @@
     };
 
     const crash_evidence_table& m_crashes;
-    duration m_lasts;
+    duration m_watch_period;
     std::map<worker_incarnation_id, watch> m_watches;
     std::map<worker_incarnation_id, submission_id>
         m_isolated; ///< the id is 0 if there are several submissions
--- a/include/walkthread/dispatch/unconfirmed_work.hpp
+++ b/include/walkthread/dispatch/unconfirmed_work.hpp
@@ -16,7 +16,7 @@
 /// @brief Tracks running submissions of which, as far as the leader knows, no task has started. A start is
 /// committed before its order is sent, and the order may not reach the worker.
 /// @since 0.2
-class unconfirmed_work
+class unconfirmed_submissions
 {
   public:
     /// @brief Adds a submission whose first starts were committed, or were found never to have begun.
@@ -41,6 +41,6 @@
 
 /// @brief Whether the record of a running submission shows no sign that any of its tasks started: none is
 /// running, completed, failed, has left a checkpoint or was tried twice. Complexity: linear in its tasks.
-[[nodiscard]] bool shows_no_beginning(const submission& owner);
+[[nodiscard]] bool shows_no_start(const submission& owner);
 
 } // namespace walkthread
--- a/include/walkthread/dispatch/worker_contact.hpp
+++ b/include/walkthread/dispatch/worker_contact.hpp
@@ -38,16 +38,16 @@
     }
 
     /// @brief Records that it answered a poll.
-    void note_answer(monotonic_time now)
+    void record_answer(monotonic_time now)
     {
         m_heard = now;
         m_doubted = false;
-        m_asked_in_vain.reset();
+        m_last_failed_poll.reset();
         m_failed = {};
     }
     /// @brief Records that a call to it got no valid answer.
     /// @param outcome the cause; all but `not_sent` and `unreachable` mean that the call was sent
-    void note_failure(order_outcome outcome, monotonic_time now)
+    void record_failure(order_outcome outcome, monotonic_time now)
     {
         ++(outcome == order_outcome::not_sent      ? m_failed.not_sent
            : outcome == order_outcome::unreachable ? m_failed.unreachable
@@ -60,37 +60,37 @@
     }
     /// @brief Records that a poll got no valid answer.
     /// @param sent when it was sent
-    void note_failed_look(order_outcome outcome, monotonic_time sent, monotonic_time now)
+    void record_failed_poll(order_outcome outcome, monotonic_time sent, monotonic_time now)
     {
-        note_failure(outcome, now);
+        record_failure(outcome, now);
         if (outcome != order_outcome::not_sent)
         {
-            m_asked_in_vain = std::max(m_asked_in_vain.value_or(sent), sent);
+            m_last_failed_poll = std::max(m_last_failed_poll.value_or(sent), sent);
         }
     }
     /// @brief Polls it rarely: not before `until`. That time does not count as time without contact.
     void poll_rarely(monotonic_time until)
     {
-        m_rests_until = until;
+        m_polled_rarely_until = until;
     }
     /// @brief Polls it at the usual rate again.
-    void end_rest(monotonic_time now)
+    void poll_promptly(monotonic_time now)
     {
-        m_rests_until = std::min(m_rests_until, now);
+        m_polled_rarely_until = std::min(m_polled_rarely_until, now);
     }
 
     [[nodiscard]] bool polled_rarely(monotonic_time now) const
     {
-        return m_rests_until > now;
+        return m_polled_rarely_until > now;
     }
     [[nodiscard]] monotonic_time last_heard() const
     {
         return m_heard;
     }
     /// @brief Time since the last contact, without the time in which it was deliberately not polled.
-    [[nodiscard]] duration unheard_for(monotonic_time now) const
+    [[nodiscard]] duration time_since_contact(monotonic_time now) const
     {
-        return now - std::max(m_heard, m_rests_until);
+        return now - std::max(m_heard, m_polled_rarely_until);
     }
     /// @brief Whether a call failed in a way that makes the worker suspected of failure: it gets no new work
     /// until it answers.
@@ -105,9 +105,9 @@
     }
     /// @brief When the newest poll that counts against the worker was sent; no value if there is none since
     /// its last answer.
-    [[nodiscard]] std::optional<monotonic_time> asked_in_vain() const
+    [[nodiscard]] std::optional<monotonic_time> last_failed_poll() const
     {
-        return m_asked_in_vain;
+        return m_last_failed_poll;
     }
     /// @brief Calls that failed since its last answer.
     [[nodiscard]] const failed_calls& failed() const
@@ -117,9 +117,9 @@
 
   private:
     monotonic_time m_heard{};
-    monotonic_time m_rests_until{};
+    monotonic_time m_polled_rarely_until{};
     monotonic_time m_doubted_since{};
-    std::optional<monotonic_time> m_asked_in_vain;
+    std::optional<monotonic_time> m_last_failed_poll;
     bool m_doubted = false;
     failed_calls m_failed;
 };
--- a/include/walkthread/dispatch/worker_view.hpp
+++ b/include/walkthread/dispatch/worker_view.hpp
@@ -27,88 +27,89 @@
 {
     mechanism_set mechanisms;     ///< which policies are on
     milliseconds lease{4500};     ///< longer than an election, so that a new leader renews leases in time
-    milliseconds lease_cap{6000}; ///< workers cut longer leases to this; from the platform's settings
-    milliseconds late_orders{
+    milliseconds max_lease{6000}; ///< workers cut longer leases to this; from the platform's settings
+    milliseconds late_order_limit{
         12000}; ///< an unanswered order may still be carried out until then; limit of the platform
-    double clock_drift = 0.02;       ///< maximum rate error of a worker's clock; limit of the platform
-    milliseconds look_wait{1000};    ///< a poll waits that long for the end of a run: well under the lease
-    milliseconds look_overdue{200};  ///< after `poll_wait`: the host is used last for new work
-    milliseconds look_patience{700}; ///< after `poll_wait`, until a poll times out
+    double clock_drift = 0.02;      ///< maximum rate error of a worker's clock; limit of the platform
+    milliseconds poll_wait{1000};   ///< a poll waits that long for the end of a run: well under the lease
+    milliseconds poll_overdue{200}; ///< after `poll_wait`: the host is used last for new work
+    milliseconds poll_timeout{700}; ///< after `poll_wait`, until a poll times out
     /// If a larger share of polls of live workers is lost, polls are short; it stays below while a tenth of
     /// the workers is unresponsive.
-    double looks_lost_often = 0.015;
+    double poll_loss_threshold = 0.015;
     /// A lost poll then leaves a worker's state unknown for 0.4 s instead of 1.9 s; urgent runs end every
     /// 0.15 s.
-    milliseconds short_look_wait{200};
-    milliseconds short_look_patience{200}; ///< an answer takes a few milliseconds, a lost packet 0.2 s
+    milliseconds short_poll_wait{200};
+    milliseconds short_poll_timeout{200}; ///< an answer takes a few milliseconds, a lost packet 0.2 s
     /// Maximum number of concurrent polls; from the limit on file descriptors.
-    std::size_t look_connections{SIZE_MAX};
+    std::size_t poll_connections{SIZE_MAX};
     /// Poll interval of workers without runs if there are fewer connections than workers.
-    milliseconds idle_look_gap{5000};
-    milliseconds look_retry{150};     ///< after an unanswered poll
-    milliseconds start_window{2500};  ///< a worker refuses an order to start that arrives later
-    milliseconds order_retry{250};    ///< before an unanswered order is sent again
-    int start_tries = 3;              ///< unanswered orders before the run is stopped instead
-    int unsent_tries = 3;             ///< orders that could not be sent before the task is placed elsewhere
+    milliseconds idle_poll_interval{5000};
+    milliseconds poll_retry_delay{150};  ///< after an unanswered poll
+    milliseconds start_window{2500};     ///< a worker refuses an order to start that arrives later
+    milliseconds order_retry_delay{250}; ///< before an unanswered order is sent again
+    int max_start_attempts = 3;          ///< unanswered orders before the run is stopped instead
+    int max_unsent_attempts = 3;      ///< orders that could not be sent before the task is placed elsewhere
     milliseconds suspect_after{1300}; ///< without contact for that long: nothing new is placed there
     /// @brief A worker without contact for that long is silent: it is only polled.
     [[nodiscard]] duration silent_after() const
     {
-        return suspect_after + look_wait;
+        return suspect_after + poll_wait;
     }
     /// A ticket is not used if it expires sooner: time for the commit and the transfer.
     milliseconds ticket_margin{150};
-    milliseconds advice_gap{60};    ///< minimum time between two queries for one step
-    milliseconds advice_retry{250}; ///< after a query without an answer
-    outlook_bounds outlooks{};
+    milliseconds advice_interval{60};     ///< minimum time between two queries for one step
+    milliseconds advice_retry_delay{250}; ///< after a query without an answer
+    timeliness_thresholds timeliness_limits{};
     /// Between passes over steps that are not urgent: their objectives are seconds, and such passes take most
     /// of the leader's time.
-    milliseconds full_pass_gap{20};
+    milliseconds full_pass_interval{20};
     milliseconds quarantine{4000}; ///< the first one; doubles each time
-    milliseconds quarantine_cap{30000};
-    int quarantine_failures = 3;       ///< consecutive failed runs of different submissions
-    milliseconds unhealthy_pause{800}; ///< after a worker reported that it can't start anything
-    milliseconds stuck_after{
+    milliseconds max_quarantine{30000};
+    int quarantine_failures = 3;         ///< consecutive failed runs of different submissions
+    milliseconds unhealthy_backoff{800}; ///< after a worker reported that it can't start anything
+    milliseconds stall_timeout{
         2500}; ///< a run without progress for that long, and for three times the usual interval, is stalled
     /// Until a new pace has an effect: tail latencies cover the last half second.
-    milliseconds pace_settles{600};
-    milliseconds pace_rise_after{1500}; ///< between increases: the interference changes within seconds
+    milliseconds pace_settling_time{600};
+    milliseconds pace_rise_interval{1500}; ///< between increases: the interference changes within seconds
     /// Filling tasks are paused once the tail latency is over its target for that long; less than half of the
     /// platform's limit.
-    milliseconds harm_patience{1800};
-    milliseconds sharing_look_wait{400}; ///< for polls of hosts with both serving and filling tasks
+    milliseconds over_target_tolerance{1800};
+    milliseconds colocation_poll_wait{400}; ///< for polls of hosts with both serving and filling tasks
     /// A task that started within this time before the crash of its host is a likely cause, as such tasks
     /// crash at their start; half of the shortest usual run.
-    milliseconds just_began{500};
+    milliseconds startup_crash_window{500};
     /// `startup_crash_window` plus the commit and the transfer to the host.
-    milliseconds suspects_watched{700};
-    milliseconds drain_stop{1000}; ///< before a draining worker leaves: runs with checkpoints are stopped
-    milliseconds keep_final{
+    milliseconds suspect_watch_period{700};
+    milliseconds drain_stop_lead{
+        1000}; ///< before a draining worker leaves: runs with checkpoints are stopped
+    milliseconds final_retention{
         150000}; ///< final submissions are kept for that long; more than the platform's limit
     /// A poll sent that long after the platform accepted the maintenance of a host reaches its next
     /// incarnation: all runs there are killed at once, and a call takes 1 to 3 ms.
-    milliseconds upkeep_shows{300};
+    milliseconds maintenance_effect_delay{300};
     /// A host that can't be drained for that long lets others go first: by then long-running tasks are at
     /// work again elsewhere if possible.
-    milliseconds upkeep_blocked{2000};
+    milliseconds maintenance_blocked_timeout{2000};
     /// A host has had no worker for that long: five times the maintenance time of the platform.
-    milliseconds upkeep_lost{10000};
+    milliseconds maintenance_lost_timeout{10000};
     /// Stops sent by an earlier leader are carried out by then: the platform allows 400 ms.
-    milliseconds stops_show{600};
-    gathering_bounds gathering{};
+    milliseconds stop_effect_delay{600};
+    gathering_limits gathering{};
     reservation_settings reservations{}; ///< of capacity for gangs
     /// From first being considered to the start: two queries, and gathering between them.
-    milliseconds gang_lead{4000};
+    milliseconds gang_lead_time{4000};
     /// Relative to the usual speed: urgent work uses slower hosts last; hosts differ by a factor of 1 to 1.3.
-    double slow_below = 0.88;
+    double slow_speed_threshold = 0.88;
     /// A gang queries hosts until their total capacity, when empty, is that many times its tasks: about a
     /// third of it is free at a time.
-    double gang_reach = 5.0;
-    milliseconds hold_lasts{4000}; ///< a hold that has not grown for that long is released
+    double gang_candidate_factor = 5.0;
+    milliseconds hold_timeout{4000}; ///< a hold that has not grown for that long is released
     /// Maximum share of a pool's hosts held for large tasks at a time, but at least one host.
-    double reserved_share = 0.35;
+    double max_reserved_share = 0.35;
     /// With less slack, less urgent runs with checkpoints are stopped for the gang.
-    milliseconds gang_preempt{4500};
+    milliseconds gang_preempt_slack{4500};
 };
 
 /// @brief A run as the leader sees it; the replicated state says that it may exist.
@@ -124,10 +125,10 @@
     bool stopping{};
     bool stop_in_flight{};
     monotonic_time stop_retry{};
-    std::optional<monotonic_time> stop_settled;
+    std::optional<monotonic_time> stop_outcome_known_at;
     std::string ticket;
     std::int32_t percent{};
-    monotonic_time progressed{}; ///< when the percentage last increased
+    monotonic_time last_progress{}; ///< when the percentage last increased
     std::string checkpoint;
     std::int32_t pace = 100; ///< the percentage of full speed that it was told to run at
     bool pace_in_flight{};
@@ -142,24 +143,24 @@
 struct worker_view
 {
     worker_incarnation_id id{};
-    bool answered{};                ///< it has answered with this leader's fencing token
-    worker_contact contact;         ///< whether it can be reached
-    monotonic_time answered_look{}; ///< send time of the newest poll that was answered
+    bool answered{};                     ///< it has answered with this leader's fencing token
+    worker_contact contact;              ///< whether it can be reached
+    monotonic_time answered_poll_sent{}; ///< send time of the newest poll that was answered
     monotonic_time clock_at{};
     std::int64_t clock_ms{}; ///< the worker's clock at `clock_at` or a little before
     bool clock_known{};
-    std::int64_t granted_until_ms{};    ///< the latest lease end ever sent, on the worker's clock
-    monotonic_time foreign_lease_end{}; ///< leases granted by an earlier leader end by then
-    bool look_in_flight{};
-    monotonic_time look_sent{};
-    monotonic_time look_due{};
+    std::int64_t granted_until_ms{};           ///< the latest lease end ever sent, on the worker's clock
+    monotonic_time earlier_leader_lease_end{}; ///< leases granted by an earlier leader end by then
+    bool poll_in_flight{};
+    monotonic_time poll_sent{};
+    monotonic_time poll_due{};
     bool ends_commit_pending{}; ///< ends of runs wait for their commit, and the next poll waits for that
     bool drop_proposed{};       ///< a command that drops it is proposed
     /// A command that records the last state of its runs, or that it answers again, waits for its commit.
-    bool last_word_pending{};
+    bool status_commit_pending{};
     bool draining{};
     monotonic_time leaves_at{}; ///< while draining: it does not leave earlier
-    int failures_in_row{};
+    int consecutive_failures{};
     submission_id last_failed{};
     monotonic_time avoid_until{};
     milliseconds next_quarantine{};
@@ -178,18 +179,18 @@
     /// Runs of gangs that were ended here because another member was lost.
     std::map<step_ref, std::uint32_t> broken_gangs;
     /// Unanswered orders to start, with the time when they were found to be so.
-    std::map<run_ref, monotonic_time> late_starts;
+    std::map<run_ref, monotonic_time> unanswered_starts;
 
     /// @brief Records a reading of the worker's clock that was made no later than `now`.
-    void note_clock(std::int64_t ms, monotonic_time now);
+    void update_clock(std::int64_t ms, monotonic_time now);
     /// @brief The estimated current time on the worker's clock.
     [[nodiscard]] std::int64_t clock_now(monotonic_time now) const;
     /// @brief Records that a run of a gang was ended here because another member was lost; its other members
     /// here end as well.
-    void note_broken_gang(const run_ref& run);
+    void record_broken_gang(const run_ref& run);
     /// @brief Whether a run was ended here for that reason, as far as the host has reported. Complexity:
     /// logarithmic in the number of such gangs.
-    [[nodiscard]] bool broke_with_gang(const run_ref& run) const;
+    [[nodiscard]] bool ended_with_gang(const run_ref& run) const;
     /// @brief Returns the lease end to request, on the worker's clock, and records it as granted.
     std::int64_t grant_lease(monotonic_time now, milliseconds lease);
     /// @brief Takes over the runs that a former incarnation with the same id was told to start: orders for
@@ -198,13 +199,13 @@
     void carry_over(const worker_view& former, monotonic_time now, const dispatch_settings& settings);
     /// @brief Whether it is unknown for any run that a former incarnation was told to start whether it is
     /// here.
-    [[nodiscard]] bool settles() const;
+    [[nodiscard]] bool has_unresolved_runs() const;
     /// @brief Whether stops that prevent such runs are unanswered.
-    [[nodiscard]] bool rules_out() const;
+    [[nodiscard]] bool has_pending_stops() const;
     /// @brief Whether it is unknown for any unanswered start whether it was carried out.
-    [[nodiscard]] bool has_open_start() const;
+    [[nodiscard]] bool has_unresolved_start() const;
     /// @brief Whether every lease that was ever granted has certainly expired, so that nothing can run there.
-    [[nodiscard]] bool lease_surely_over(monotonic_time now, double drift) const;
+    [[nodiscard]] bool lease_surely_expired(monotonic_time now, double drift) const;
 };
 
 } // namespace walkthread
--- a/include/walkthread/fabric/fabric_node.hpp
+++ b/include/walkthread/fabric/fabric_node.hpp
@@ -35,14 +35,14 @@
     bool founding{};                ///< this is the first start of the whole cluster
     std::uint32_t losses_borne{2};  ///< number of disks that may be lost at the same time
     std::string report_address;     ///< address for worker reports; empty if this process takes none
-    milliseconds lease_cap{6000};
+    milliseconds max_lease{6000};
     std::size_t most_links = 1000; ///< links to other processes, for each direction
 };
 
 /// @brief Calls to workers and the placement advisor, provided by the platform adapter.
 struct outside_hooks
 {
-    std::function<void(const look_order&, std::function<void(const look_answer&)>)> look;
+    std::function<void(const poll_order&, std::function<void(const poll_answer&)>)> poll;
     std::function<void(const start_task_order&, std::function<void(const order_answer&)>)> start;
     std::function<void(const stop_task_order&, std::function<void(const order_answer&)>)> stop;
     std::function<void(const pace_task_order&, std::function<void(const order_answer&)>)> pace;
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -20,7 +20,7 @@
 // Percent: pace of filling tasks that an earlier leader started, until tail latencies are known.
 constexpr std::int32_t inherited_pace = 25;
 // Ranks 0 to 2 are long-running work, urgent work and gangs with a reservation.
-constexpr int rank_of(outlook expected_timeliness)
+constexpr int rank_of(timeliness expected_timeliness)
 {
     return 3 + static_cast<int>(expected_timeliness);
 }
@@ -31,12 +31,12 @@
                        decision_log& log, std::uint64_t fence, monotonic_time now)
     : m_state(state), m_settings(settings), m_hooks(std::move(hooks)), m_log(log), m_fence(fence),
       m_term_start(now), m_hosts(m_state, m_views, m_settings, m_upkeep_hosts),
-      m_suspects(state.crashes(), m_settings.suspects_watched), m_news(news_kept),
+      m_suspects(state.crashes(), m_settings.suspect_watch_period), m_news(news_kept),
       m_verdicts_noted(state.crashes().poison_task_count())
 {
     if (!uses(mechanism::answer_tickets))
     {
-        m_advice.note_refused_ticket();
+        m_advice.record_refused_ticket();
     }
     sync_views(now);
 }
@@ -106,23 +106,24 @@
     view.next_quarantine = m_settings.quarantine;
     view.draining = worker.leaving;
     view.sequence = worker.leaving_sequence;     // delayed older reports are ignored
-    view.leaves_at = now + m_settings.lease_cap; // assumed until the worker reports to this leader
+    view.leaves_at = now + m_settings.max_lease; // assumed until the worker reports to this leader
     if (worker.leaving)
     {
         log_event(now, "worker_draining", worker.description.id,
                   {{"from", "log"}, {"sequence", worker.leaving_sequence}, {"runs", worker.occupied.size()}});
     }
     const double longest =
-        static_cast<double>(m_settings.lease_cap.count()) * (1.0 + 2 * m_settings.clock_drift);
+        static_cast<double>(m_settings.max_lease.count()) * (1.0 + 2 * m_settings.clock_drift);
     const auto former = m_views.find(worker.follows);
     const bool inherited = now == m_term_start || !worker.occupied.empty();
     const monotonic_time granted_by = former == m_views.end() ? m_term_start : now;
-    view.foreign_lease_end = inherited ? granted_by + milliseconds(static_cast<std::int64_t>(longest)) : now;
+    view.earlier_leader_lease_end =
+        inherited ? granted_by + milliseconds(static_cast<std::int64_t>(longest)) : now;
     for (const auto& [run, room] : worker.occupied)
     {
         run_view& known = view.runs[run];
         known.sent = now;
-        known.progressed = now;
+        known.last_progress = now;
         known.inherited = former == m_views.end();
         known.carried_over = !known.inherited;
         // An earlier leader may have throttled it: keep it low until tail latencies on the host are known.
@@ -157,7 +158,7 @@
     const bool all = now >= m_full_due;
     if (all)
     {
-        m_full_due = now + m_settings.full_pass_gap;
+        m_full_due = now + m_settings.full_pass_interval;
     }
     stop_unwanted(now);
     m_hosts.begin_pass(now);
@@ -178,7 +179,7 @@
             continue;
         }
         item.placed = placed_tasks(item);
-        item.lost_before = has_lost_tasks(item);
+        item.lost_with_host = has_lost_tasks(item);
         failed += place(item, now) ? 0 : 1;
         if (failed > most_failed_placements)
         {
@@ -222,12 +223,12 @@
         item.slack_ms = -age;
         return true;
     }
-    const chain_times chain = m_objectives.chain_of(*item.owner, item.ref.step);
+    const critical_path_times chain = m_objectives.critical_path_of(*item.owner, item.ref.step);
     const double objective = item.queue != nullptr ? objective_ms(chain, *item.queue) : 0.0;
     item.slack_ms = objective - age - chain.remaining_ms;
     item.run_ms = m_objectives.expected_ms(item.owner->queue, *item.step);
     item.reserved = has_reservation(item.ref);
-    item.expected_timeliness = judge_outlook(item.slack_ms, objective, m_settings.outlooks);
+    item.expected_timeliness = classify_timeliness(item.slack_ms, objective, m_settings.timeliness_limits);
     return true;
 }
 
@@ -278,7 +279,7 @@
             out.push_back(item);
         }
     }
-    const auto lead_ms = static_cast<double>(m_settings.gang_lead.count());
+    const auto lead_ms = static_cast<double>(m_settings.gang_lead_time.count());
     std::sort(out.begin(), out.end(),
               [this, lead_ms](const candidate& a, const candidate& b)
               {
@@ -289,7 +290,7 @@
                   {
                       const bool prepares = c.step->gang && !c.urgent();
                       const double left = c.slack_ms - (prepares ? lead_ms : 0.0);
-                      return rank(c) == rank_of(outlook::doubtful) ? -left : left;
+                      return rank(c) == rank_of(timeliness::at_risk) ? -left : left;
                   };
                   return std::make_tuple(rank(a), pressing(a), a.ref) <
                          std::make_tuple(rank(b), pressing(b), b.ref);
@@ -306,7 +307,7 @@
     forget_submissions command;
     for (const auto& [ended, id] : m_state.ended())
     {
-        if (ended + m_settings.keep_final.count() > wall || command.ids.size() >= forget_at_once)
+        if (ended + m_settings.final_retention.count() > wall || command.ids.size() >= forget_at_once)
         {
             break;
         }
--- a/src/dispatch/dispatcher_advice.cpp
+++ b/src/dispatch/dispatcher_advice.cpp
@@ -30,7 +30,7 @@
     }
     const step_advice& known = m_advice.of(item.ref);
     const bool may_send_now = pressing || !m_hooks.advisors_free || m_hooks.advisors_free();
-    return known.open_questions == 0 && now >= known.ask_after && may_send_now;
+    return known.pending_questions == 0 && now >= known.ask_after && may_send_now;
 }
 
 // For a first query it is enough to choose among a few hundred hosts, starting at an offset that differs
@@ -67,7 +67,7 @@
 // Queries for single tasks and urgent gangs; those of other gangs are in dispatcher_gangs.cpp.
 void dispatcher::ask_advice(const candidate& item, std::uint32_t need, monotonic_time now)
 {
-    if (!may_ask(item, item.presses(), now))
+    if (!may_ask(item, item.has_priority(), now))
     {
         return;
     }
@@ -83,7 +83,7 @@
     const auto order_of = [&item](const offer& o, bool good)
     {
         const std::uint64_t flags = (o.slots > 0 ? 0U : 16U) | (o.held ? 8U : 0U) |
-                                    (item.urgent() && o.slow ? 4U : 0U) | (o.keeps_large ? 0U : 2U) |
+                                    (item.urgent() && o.slow ? 4U : 0U) | (o.spares_large_slots ? 0U : 2U) |
                                     (good ? 0U : 1U);
         const std::uint64_t room = most_counted_slots - std::min<std::uint64_t>(o.slots, most_counted_slots);
         return (flags << 48U) | (room << 32U) | o.worker->id.value();
@@ -112,12 +112,13 @@
                                           : approval_probability * o.whole * full_worker_weight;
         offers.push_back({order_of(o, seen), id, o.slots, weight});
     }
-    known.ask_after = now + m_settings.advice_gap; // set also without a query, as little changes until then
+    known.ask_after =
+        now + m_settings.advice_interval; // set also without a query, as little changes until then
     if (usable_slots >= need)
     {
         return;
     }
-    const auto named = static_cast<std::ptrdiff_t>(std::min(offers.size(), most_asked));
+    const auto named = static_cast<std::ptrdiff_t>(std::min(offers.size(), max_workers_per_question));
     std::partial_sort(offers.begin(), offers.begin() + named, offers.end(),
                       [](const question_item& x, const question_item& y)
                       {
@@ -142,19 +143,19 @@
     for (const question_item& o : offers)
     {
         const bool done = sum >= need * spare_factor && asked.size() >= least;
-        if (done || asked.size() >= most_asked || (!first && o.slots == 0))
+        if (done || asked.size() >= max_workers_per_question || (!first && o.slots == 0))
         {
             break;
         }
         asked.push_back(o.worker);
         sum += o.weight;
     }
-    if (asked.empty() && !item.step->gang && !item.presses())
+    if (asked.empty() && !item.step->gang && !item.has_priority())
     {
         keep_tickets(item, now);
         return;
     }
-    send_advisor_query(item, asked, item.presses(), now);
+    send_advisor_query(item, asked, item.has_priority(), now);
 }
 
 // Renews the tickets of a waiting step for all approved hosts while query processes are idle. The step can
@@ -175,7 +176,7 @@
     {
         ++good;
         const advice_entry& entry = known.entries.at(o.worker->id);
-        if (o.whole > 0 && hosts.size() < most_asked &&
+        if (o.whole > 0 && hosts.size() < max_workers_per_question &&
             !m_advice.usable(entry, now, m_settings.ticket_margin + question))
         {
             hosts.push_back(o.worker->id);
@@ -200,7 +201,7 @@
     {
         question.incarnations.push_back(m_state.find(worker)->description.id);
     }
-    ++m_advice.of(item.ref).open_questions;
+    ++m_advice.of(item.ref).pending_questions;
     ++m_counters.questions;
     log_event(now, "advice_asked", name_of(item.ref),
               {{"workers", workers.size()},
@@ -225,8 +226,8 @@
 {
     const monotonic_time now = m_hooks.now();
     step_advice& open = m_advice.of(ref);
-    --open.open_questions;
-    open.ask_after = now + (answer.answered ? m_settings.advice_gap : m_settings.advice_retry);
+    --open.pending_questions;
+    open.ask_after = now + (answer.answered ? m_settings.advice_interval : m_settings.advice_retry_delay);
     if (answer.answered)
     {
         std::map<worker_incarnation_id, std::string> tickets;
--- a/src/dispatch/dispatcher_gang_room.cpp
+++ b/src/dispatch/dispatcher_gang_room.cpp
@@ -74,9 +74,9 @@
     m_gang_review_due = now + m_settings.reservations.review;
     m_seeks_hosts.clear();
     std::map<pool_number, reservation_review> reviews;
-    std::map<step_ref, room_hold> next;
-    std::map<step_ref, room_hold> kept; // the first of each pool, and those that can start now
-    std::size_t reviewed = 0;
+    std::map<step_ref, capacity_hold> next;
+    std::map<step_ref, capacity_hold> kept; // the first of each pool, and those that can start now
+    std::size_t max_reviewed = 0;
     for (candidate& item : gangs_by_waiting(items, now))
     {
         auto review = reviews.find(item.pool);
@@ -90,7 +90,7 @@
         {
             continue;
         }
-        if (++reviewed > m_settings.reservations.reviewed)
+        if (++max_reviewed > m_settings.reservations.max_reviewed)
         {
             break;
         }
@@ -112,7 +112,7 @@
         else if (review->second.admits(wanted, item.missed(), found->ready_ms))
         {
             review->second.add(wanted, item.missed());
-            room_hold& made = next[item.ref] = make_reservation(item, *found, now);
+            capacity_hold& made = next[item.ref] = make_reservation(item, *found, now);
             made.first = review->second.gangs() == 1;
             if (made.first || found->ready_ms <= 0.0)
             {
@@ -124,8 +124,8 @@
 }
 
 // Forecasts when the host can take one, two, ... tasks of the gang, beside the reservations in `before`.
-host_outlook dispatcher::outlook_on(const candidate& item, const offer& o,
-                                    const std::map<step_ref, room_hold>& before, monotonic_time now)
+host_forecast dispatcher::outlook_on(const candidate& item, const offer& o,
+                                     const std::map<step_ref, capacity_hold>& before, monotonic_time now)
 {
     const host_row& row = *m_hosts.find(o.worker->id);
     resources open = row.open;
@@ -144,10 +144,10 @@
         runs.push_back({row.view->planned, commit_unknown_ms});
     }
     const auto held = m_holds.find(item.ref);
-    host_outlook out;
+    host_forecast out;
     out.worker = o.worker->id;
     out.kept = held != m_holds.end() && held->second.ahead && held->second.tasks.contains(out.worker);
-    out.ready_ms = times_until_slots(
+    out.ready_ms = times_until_slots_fit(
         open, std::move(runs),
         [this, &item, &o](const resources& room)
         {
@@ -158,7 +158,7 @@
 }
 
 std::optional<gang_reservation> dispatcher::find_reservation(const candidate& item,
-                                                             const std::map<step_ref, room_hold>& before,
+                                                             const std::map<step_ref, capacity_hold>& before,
                                                              monotonic_time now)
 {
     const std::vector<offer> offers = find_good_offers(item, now);
@@ -171,24 +171,24 @@
     {
         return std::nullopt;
     }
-    std::vector<host_outlook> hosts;
+    std::vector<host_forecast> hosts;
     hosts.reserve(offers.size());
     for (const offer& o : offers)
     {
         hosts.push_back(outlook_on(item, o, before, now));
     }
-    return reserve_soonest(hosts, item.step->count);
+    return choose_earliest_hosts(hosts, item.step->count);
 }
 
-room_hold dispatcher::make_reservation(const candidate& item, const gang_reservation& found,
-                                       monotonic_time now)
+capacity_hold dispatcher::make_reservation(const candidate& item, const gang_reservation& found,
+                                           monotonic_time now)
 {
-    room_hold out;
+    capacity_hold out;
     out.tasks = found.tasks;
     out.total = item.step->count;
     out.each = host_demand_of(*item.step);
     out.missed = item.missed();
-    out.grew = now;
+    out.last_growth = now;
     out.ahead = true;
     out.due =
         now + std::chrono::duration_cast<duration>(std::chrono::duration<double, std::milli>(found.ready_ms));
@@ -209,7 +209,7 @@
     return out;
 }
 
-void dispatcher::set_reservations(std::map<step_ref, room_hold> next)
+void dispatcher::set_reservations(std::map<step_ref, capacity_hold> next)
 {
     std::vector<step_ref> over;
     for (const auto& [ref, hold] : m_holds)
@@ -282,7 +282,7 @@
 // renews tickets.
 void dispatcher::ask_for_reserved(const candidate& item, monotonic_time now)
 {
-    const room_hold& hold = m_holds.at(item.ref);
+    const capacity_hold& hold = m_holds.at(item.ref);
     if (hold.due > now)
     {
         preempt_for(item, item.step->count, now);
@@ -294,7 +294,7 @@
     }
     if (soon)
     {
-        m_advice.of(item.ref).ask_after = now + m_settings.advice_gap;
+        m_advice.of(item.ref).ask_after = now + m_settings.advice_interval;
         send_advisor_query(item, hosts_without_ticket(item, hold, now), true, now);
     }
     else if (!learn_hosts(item, now))
--- a/src/dispatch/dispatcher_gangs.cpp
+++ b/src/dispatch/dispatcher_gangs.cpp
@@ -44,7 +44,7 @@
 // waiting.
 bool dispatcher::spares_accelerators(const candidate& item, const offer& o)
 {
-    return item.step->size.accelerators == 0 || o.keeps_large;
+    return item.step->size.accelerators == 0 || o.spares_large_slots;
 }
 
 bool dispatcher::has_lost_tasks(const candidate& item) const
@@ -144,11 +144,11 @@
               {
                   const auto key = [small, &item](const offer& o)
                   {
-                      return small ? std::make_tuple(o.watched, o.doubt, false, -o.speed,
+                      return small ? std::make_tuple(o.watched, o.contact_penalty, false, -o.speed,
                                                      std::int64_t{o.worker->id.value()})
-                                   : std::make_tuple(o.watched, o.doubt, !spares_accelerators(item, o),
-                                                     -static_cast<double>(o.slots),
-                                                     -std::int64_t{o.worker->id.value()});
+                                   : std::make_tuple(
+                                         o.watched, o.contact_penalty, !spares_accelerators(item, o),
+                                         -static_cast<double>(o.slots), -std::int64_t{o.worker->id.value()});
                   };
                   return key(a) < key(b);
               });
@@ -190,22 +190,22 @@
     {
         return true;
     }
-    gathering_work others;
+    gathering_demand others;
     for (const auto& [ref, hold] : m_holds)
     {
         const step_spec* step = m_state.find(ref);
         const bool before = item.missed() || !hold.missed; // holds of late gangs do not block others
-        if (hold.gathers && before && step != nullptr && hold.total < step->count)
+        if (hold.is_gathering && before && step != nullptr && hold.total < step->count)
         {
             ++others.gangs;
             others.wanted += hold.each * step->count;
         }
     }
-    return may_join_gathering(others, host_demand_of(*item.step) * item.step->count,
-                              m_hosts.host_demand_of(item.pool), m_settings.gathering);
+    return may_start_gathering(others, host_demand_of(*item.step) * item.step->count,
+                               m_hosts.host_demand_of(item.pool), m_settings.gathering);
 }
 
-void dispatcher::set_hold(const step_ref& ref, room_hold next)
+void dispatcher::set_hold(const step_ref& ref, capacity_hold next)
 {
     drop_hold(ref);
     if (next.total == 0)
@@ -262,7 +262,7 @@
                   return std::make_tuple(own(b), spares_accelerators(item, b), b.slots, b.worker->id) <
                          std::make_tuple(own(a), spares_accelerators(item, a), a.slots, a.worker->id);
               });
-    room_hold next;
+    capacity_hold next;
     next.each = host_demand_of(*item.step);
     next.missed = item.missed();
     for (const offer& o : offers)
@@ -274,7 +274,7 @@
             next.total += count;
         }
     }
-    next.grew = next.total > held_before || before == m_holds.end() ? now : before->second.grew;
+    next.last_growth = next.total > held_before || before == m_holds.end() ? now : before->second.last_growth;
     if (held_before == 0)
     {
         log_event(now, "room_held", name_of(item.ref),
@@ -297,10 +297,10 @@
     {
         const step_spec* step = m_state.find(ref);
         const bool waits = step != nullptr && m_state.ready().contains(ref);
-        const bool stale = !hold.ahead && now - hold.grew > m_settings.hold_lasts;
+        const bool stale = !hold.ahead && now - hold.last_growth > m_settings.hold_timeout;
         if (stale && waits)
         {
-            m_hold_after[ref] = now + m_settings.hold_lasts;
+            m_hold_after[ref] = now + m_settings.hold_timeout;
             log_event(now, "room_given_up", name_of(ref), {{"tasks", hold.total}, {"of", step->count}});
         }
         if (!waits || stale)
@@ -320,17 +320,17 @@
 
 // The time to expect for a query about all hosts of a hold, queueing included: while queries queue, tickets
 // of the other hosts would expire before a query about some of them is answered.
-milliseconds dispatcher::question_time(const candidate& item, const room_hold& hold)
+milliseconds dispatcher::question_time(const candidate& item, const capacity_hold& hold)
 {
     const advice_settings& terms = item.queue->advice;
     const double question_ms = terms.decision_ms + terms.each_ms * static_cast<double>(hold.tasks.size());
-    return std::max(std::chrono::duration_cast<milliseconds>(m_advice.of(item.ref).last_took),
+    return std::max(std::chrono::duration_cast<milliseconds>(m_advice.of(item.ref).last_duration),
                     milliseconds(static_cast<std::int64_t>(question_ms)));
 }
 
 // Hosts of the hold whose tickets would expire before a query about all of them is answered.
-std::vector<worker_incarnation_id> dispatcher::hosts_without_ticket(const candidate& item,
-                                                                    const room_hold& hold, monotonic_time now)
+std::vector<worker_incarnation_id>
+dispatcher::hosts_without_ticket(const candidate& item, const capacity_hold& hold, monotonic_time now)
 {
     const step_advice& known = m_advice.of(item.ref);
     const milliseconds needed = m_settings.ticket_margin + question_time(item, hold);
@@ -339,7 +339,7 @@
     {
         const auto entry = known.entries.find(host);
         const bool lasts = entry != known.entries.end() && m_advice.usable(entry->second, now, needed);
-        if (!lasts && hosts.size() < most_asked)
+        if (!lasts && hosts.size() < max_workers_per_question)
         {
             hosts.push_back(host);
         }
@@ -359,7 +359,7 @@
     }
     if (complete)
     {
-        m_advice.of(item.ref).ask_after = now + m_settings.advice_gap;
+        m_advice.of(item.ref).ask_after = now + m_settings.advice_interval;
         send_advisor_query(item, hosts_without_ticket(item, hold->second, now), complete, now);
         return;
     }
@@ -380,7 +380,7 @@
         return false;
     }
     step_advice& known = m_advice.of(item.ref);
-    known.ask_after = now + m_settings.advice_gap;
+    known.ask_after = now + m_settings.advice_interval;
     std::vector<worker_incarnation_id> asked;
     double within_reach = 0;
     double unknown_free = 0;
@@ -397,7 +397,7 @@
         within_reach += entry != known.entries.end() && entry->second.good ? o.whole : 0;
     }
     const double missing = item.step->count - held_tasks(item.ref);
-    const bool reached = within_reach >= m_settings.gang_reach * item.step->count;
+    const bool reached = within_reach >= m_settings.gang_candidate_factor * item.step->count;
     // Unless unknown hosts have enough free capacity now.
     if (!short_of_hosts && reached && unknown_free < missing * spare_factor)
     {
@@ -415,9 +415,10 @@
     {
         std::pop_heap(unknown.begin(), end, has_less_capacity);
         const offer& o = *std::prev(end);
-        const bool newly_reached = !reached && within_reach >= m_settings.gang_reach * item.step->count;
+        const bool newly_reached =
+            !reached && within_reach >= m_settings.gang_candidate_factor * item.step->count;
         const bool enough = !short_of_hosts && (newly_reached || now_free >= missing * spare_factor);
-        if ((enough && asked.size() >= least_asked) || asked.size() >= most_asked)
+        if ((enough && asked.size() >= least_asked) || asked.size() >= max_workers_per_question)
         {
             break;
         }
--- a/src/dispatch/dispatcher_losses.cpp
+++ b/src/dispatch/dispatcher_losses.cpp
@@ -16,7 +16,7 @@
 void dispatcher::keep_last_word(worker_view& view, monotonic_time now)
 {
     const worker_incarnation& worker = *m_state.find(view.id);
-    if (!view.answered || view.runs.empty() || view.last_word_pending || !worker.last_known_runs.empty())
+    if (!view.answered || view.runs.empty() || view.status_commit_pending || !worker.last_known_runs.empty())
     {
         return;
     }
@@ -25,7 +25,7 @@
 
 void dispatcher::forget_last_word(worker_view& view)
 {
-    if (!view.last_word_pending && !m_state.find(view.id)->last_known_runs.empty())
+    if (!view.status_commit_pending && !m_state.find(view.id)->last_known_runs.empty())
     {
         record_last_word(view, {});
     }
@@ -33,13 +33,13 @@
 
 void dispatcher::record_last_word(worker_view& view, std::vector<lost_run> runs)
 {
-    view.last_word_pending = true;
+    view.status_commit_pending = true;
     m_hooks.propose(record_last_known_runs{view.id, std::move(runs)},
                     [this, alive = m_alive, id = view.id](bool)
                     {
                         if (worker_view* later = *alive ? view_of(id) : nullptr; later != nullptr)
                         {
-                            later->last_word_pending = false;
+                            later->status_commit_pending = false;
                         }
                     });
 }
@@ -65,7 +65,7 @@
     {
         return expected_run_time(run);
     };
-    return share_blame(view, m_settings.just_began, lost_since(view, now), run_time);
+    return assign_blame(view, m_settings.startup_crash_window, lost_since(view, now), run_time);
 }
 
 // For a worker that never answered this leader, uses the last known runs that the previous leader saved.
@@ -183,7 +183,7 @@
     note_lost_runs(view, lost, now);
     for (const lost_run& item : lost)
     {
-        m_suspects.note_loss(item.run.task, now);
+        m_suspects.record_loss(item.run.task, now);
     }
     const worker_incarnation& worker = *m_state.find(view.id);
     log_event(now, "worker_dropped", worker.description.id,
--- a/src/dispatch/dispatcher_orders.cpp
+++ b/src/dispatch/dispatcher_orders.cpp
@@ -48,7 +48,7 @@
         }
         run_view& known = view->runs[run];
         known.ticket = tickets[i];
-        known.progressed = now;
+        known.last_progress = now;
         if (none || !may_start(planned))
         {
             ++m_counters.starts_withdrawn;
@@ -77,10 +77,10 @@
     order.ticket = known.ticket == "-" ? std::string{} : known.ticket;
     const step_spec* step = m_state.find(run.task.step);
     const queue_spec* queue = m_state.find_queue(owner->queue);
-    order.presses = (queue != nullptr && queue->priority == 0) || (step != nullptr && step->gang);
-    order.until_ms = view.grant_lease(now, std::min(m_settings.start_window, m_settings.lease_cap));
+    order.has_priority = (queue != nullptr && queue->priority == 0) || (step != nullptr && step->gang);
+    order.until_ms = view.grant_lease(now, std::min(m_settings.start_window, m_settings.max_lease));
     note_start(view, run, now);
-    end_rest(view, now);
+    poll_promptly(view, now);
     known.sent = now;
     known.order_in_flight = true;
     ++known.tries;
@@ -126,13 +126,13 @@
     known.order_in_flight = false;
     if (answer.clock_ms)
     {
-        view->note_clock(*answer.clock_ms, now);
+        view->update_clock(*answer.clock_ms, now);
     }
     if (answer.outcome == order_outcome::accepted)
     {
         m_unconfirmed.confirm(run.task.step.submission);
         known.outcome_known_at = now;
-        known.progressed = now;
+        known.last_progress = now;
         return;
     }
     log_event(now, "start_not_taken", name_of(run),
@@ -143,30 +143,30 @@
     if (answer.outcome == order_outcome::unanswered)
     {
         ++m_counters.unanswered_orders;
-        view->late_starts[run] = now;
+        view->unanswered_starts[run] = now;
         return; // retry_orders resends or stops it
     }
-    if (never_left(answer.outcome))
+    if (surely_not_executed(answer.outcome))
     {
         note_unsent_call(*view, answer.outcome, now);
         take_unsent_start(*view, run, answer.outcome, now);
         return;
     }
-    if (answer.outcome == order_outcome::other_life)
+    if (answer.outcome == order_outcome::wrong_incarnation)
     {
         drop_replaced(*view, now);
         return;
     }
     ++m_counters.refused_starts;
-    if (answer.outcome == order_outcome::bad_ticket)
+    if (answer.outcome == order_outcome::ticket_rejected)
     {
-        m_advice.note_refused_ticket();
+        m_advice.record_refused_ticket();
     }
     if (answer.outcome == order_outcome::unhealthy)
     {
-        view->avoid_until = std::max(view->avoid_until, now + m_settings.unhealthy_pause);
+        view->avoid_until = std::max(view->avoid_until, now + m_settings.unhealthy_backoff);
     }
-    if (answer.outcome == order_outcome::outdated)
+    if (answer.outcome == order_outcome::superseded)
     {
         known.outcome_known_at = now; // it was stopped or has ended there: the next poll tells which
         return;
@@ -192,11 +192,11 @@
     ++m_counters.unsent_orders;
     --known.tries;
     ++known.unsent_attempts;
-    if (known.tries > 0 || (known.unsent_attempts < m_settings.unsent_tries && !goes_elsewhere))
+    if (known.tries > 0 || (known.unsent_attempts < m_settings.max_unsent_attempts && !goes_elsewhere))
     {
         return; // retry_orders sends it again
     }
-    view.avoid_until = std::max(view.avoid_until, now + m_settings.unhealthy_pause);
+    view.avoid_until = std::max(view.avoid_until, now + m_settings.unhealthy_backoff);
     end_run(view.id, run, run_end::never_began, now);
 }
 
@@ -260,7 +260,7 @@
 void dispatcher::send_stop(worker_view& view, const run_ref& run, monotonic_time now)
 {
     run_view& known = view.runs[run];
-    if (known.stop_in_flight || known.stop_settled || now < known.stop_retry)
+    if (known.stop_in_flight || known.stop_outcome_known_at || now < known.stop_retry)
     {
         return;
     }
@@ -294,23 +294,23 @@
     known.stop_in_flight = false;
     if (answer.outcome == order_outcome::accepted)
     {
-        known.stop_settled = now;
+        known.stop_outcome_known_at = now;
         if (!m_state.find(worker)->occupied.contains(run))
         {
             view->runs.erase(found); // late start of a run that has already ended
         }
-        if (!view->rules_out() && !view->look_in_flight && !view->ends_commit_pending)
+        if (!view->has_pending_stops() && !view->poll_in_flight && !view->ends_commit_pending)
         {
             look_at(*view, now); // runs it does not list now never started there
         }
         return;
     }
-    if (answer.outcome == order_outcome::other_life)
+    if (answer.outcome == order_outcome::wrong_incarnation)
     {
         drop_replaced(*view, now);
         return;
     }
-    if (never_left(answer.outcome))
+    if (surely_not_executed(answer.outcome))
     {
         note_unsent_call(*view, answer.outcome, now);
     }
@@ -320,10 +320,10 @@
 // A refused connection makes the worker suspected, whichever call it was for; a poll confirms or clears that.
 void dispatcher::note_unsent_call(worker_view& view, order_outcome outcome, monotonic_time now)
 {
-    view.contact.note_failure(outcome, now);
+    view.contact.record_failure(outcome, now);
     if (outcome == order_outcome::unreachable)
     {
-        end_rest(view, now);
+        poll_promptly(view, now);
     }
 }
 
@@ -331,11 +331,11 @@
 {
     for (auto& [id, view] : m_views)
     {
-        const bool unresponsive = view.contact.unheard_for(now) > m_settings.silent_after();
+        const bool unresponsive = view.contact.time_since_contact(now) > m_settings.silent_after();
         std::vector<run_ref> again;
         for (auto& [run, known] : view.runs)
         {
-            if (known.stopping && !known.stop_settled)
+            if (known.stopping && !known.stop_outcome_known_at)
             {
                 send_stop(view, run, now);
             }
@@ -343,7 +343,7 @@
                               !known.order_in_flight && !known.stopping && !known.never_began_pending;
             const bool may_be_running =
                 unresponsive && known.tries > 0; // it may run there: waits for the worker's answer
-            if (open && !may_be_running && now - known.sent >= m_settings.order_retry)
+            if (open && !may_be_running && now - known.sent >= m_settings.order_retry_delay)
             {
                 again.push_back(run);
             }
@@ -353,9 +353,10 @@
             const bool withdrawn = m_state.needs_run(run) && !may_still_start(view, run);
             m_counters.starts_withdrawn += withdrawn ? 1 : 0;
             const run_view& known = view.runs[run];
-            const bool retryable = known.tries > 0 ? known.tries < m_settings.start_tries
-                                                   : known.unsent_attempts > 0 &&
-                                                         known.unsent_attempts < m_settings.unsent_tries;
+            const bool retryable =
+                known.tries > 0
+                    ? known.tries < m_settings.max_start_attempts
+                    : known.unsent_attempts > 0 && known.unsent_attempts < m_settings.max_unsent_attempts;
             const bool again_now = retryable && !unresponsive && may_still_start(view, run);
             if (again_now)
             {
@@ -379,10 +380,10 @@
 {
     for (auto& [id, view] : m_views)
     {
-        std::erase_if(view.late_starts,
+        std::erase_if(view.unanswered_starts,
                       [this, now](const auto& item)
                       {
-                          return now - item.second > m_settings.late_orders;
+                          return now - item.second > m_settings.late_order_limit;
                       });
         for (auto& [run, known] : view.runs)
         {
@@ -394,21 +395,21 @@
             }
             const step_spec& step = *spec;
             const bool leaving =
-                view.draining && step.checkpoints && view.leaves_at - now < m_settings.drain_stop;
+                view.draining && step.checkpoints && view.leaves_at - now < m_settings.drain_stop_lead;
             const double expected = m_objectives.expected_ms(owner->queue, step) * stuck_factor;
-            const duration stall_limit =
-                std::max<duration>(m_settings.stuck_after, milliseconds(static_cast<std::int64_t>(expected)));
+            const duration stall_limit = std::max<duration>(
+                m_settings.stall_timeout, milliseconds(static_cast<std::int64_t>(expected)));
             const bool paced = known.pace < 100; // throttled by this leader, so no progress is expected
             // Measured up to the last answer: runs of an unresponsive worker may well make progress.
             const bool stalled =
-                !step.long_running && !paced && view.contact.last_heard() - known.progressed > stall_limit;
+                !step.long_running && !paced && view.contact.last_heard() - known.last_progress > stall_limit;
             if (stalled)
             {
                 view.avoid_until = std::max(view.avoid_until, now + view.next_quarantine);
                 log_event(now, "worker_avoided", m_state.find(id)->description.id,
                           {{"reason", "run made no progress"},
                            {"run", name_of(run)},
-                           {"unchanged_ms", now - known.progressed}});
+                           {"unchanged_ms", now - known.last_progress}});
             }
             if (leaving || stalled)
             {
--- a/src/dispatch/dispatcher_place.cpp
+++ b/src/dispatch/dispatcher_place.cpp
@@ -176,7 +176,7 @@
     if (item.queue != nullptr && item.queue->advised)
     {
         const step_advice& known = m_advice.of(item.ref);
-        if (known.open_questions > 0 && known.entries.empty())
+        if (known.pending_questions > 0 && known.entries.empty())
         {
             return true; // nothing is known until the first query is answered
         }
@@ -231,12 +231,12 @@
     const auto& labels = row.worker->description.labels;
     const auto rack = labels.empty() ? m_doubted_racks.end() : m_doubted_racks.find(labels.back());
     const bool rack_lost = rack != m_doubted_racks.end() && rack->second > row.view->contact.last_heard();
-    const duration unheard = row.view->contact.unheard_for(now);
-    if (rack_lost || unheard > m_settings.look_wait + m_settings.look_overdue)
+    const duration unheard = row.view->contact.time_since_contact(now);
+    if (rack_lost || unheard > m_settings.poll_wait + m_settings.poll_overdue)
     {
         return most;
     }
-    return item.lost_before ? static_cast<int>(unheard / step) : 0;
+    return item.lost_with_host ? static_cast<int>(unheard / step) : 0;
 }
 
 dispatcher::offer dispatcher::make_offer(const candidate& item, const host_row& row, monotonic_time now)
@@ -253,15 +253,15 @@
                   std::find(labels.begin(), labels.end(), item.step->preferred_rack) != labels.end();
     o.ticket = ticket_for(item, row.worker->id, now);
     o.speed = row.view->speed;
-    o.slow = o.speed < m_settings.slow_below * m_usual_speed;
+    o.slow = o.speed < m_settings.slow_speed_threshold * m_usual_speed;
     o.held = o.room != row.free;
-    o.keeps_large = o.slots == 0 || !uses(mechanism::large_slots) ||
-                    keeps_large_slots(o.room, host_demand_of(*item.step));
-    o.watched =
-        uses(mechanism::suspects_apart) && m_suspects.watches(row.worker->id, item.ref.submission, now);
-    o.doubt = doubt_about(item, row, now);
-    o.disturbs = (item.step->fills && row.view->serving > 0) ||
-                 (item.step->latency_target_ms > 0 && row.view->filling > 0);
+    o.spares_large_slots = o.slots == 0 || !uses(mechanism::large_slots) ||
+                           keeps_large_slots(o.room, host_demand_of(*item.step));
+    o.watched = uses(mechanism::suspects_apart) &&
+                m_suspects.has_foreign_suspect(row.worker->id, item.ref.submission, now);
+    o.contact_penalty = doubt_about(item, row, now);
+    o.mixes_serving_and_filling = (item.step->fills && row.view->serving > 0) ||
+                                  (item.step->latency_target_ms > 0 && row.view->filling > 0);
     return o;
 }
 
@@ -339,7 +339,7 @@
 bool dispatcher::looked_at_lately(const candidate& item, monotonic_time now) const
 {
     const auto waits = m_waiting.find(item.ref);
-    return !item.presses() && waits != m_waiting.end() && now < waits->second.look_again;
+    return !item.has_priority() && waits != m_waiting.end() && now < waits->second.look_again;
 }
 
 // Only considers hosts on which capacity became free since the step's last scan, as the others had none for
@@ -428,9 +428,9 @@
               {
                   const auto key = [urgent](const offer& o)
                   {
-                      return std::make_tuple(o.watched, o.doubt, o.disturbs, !o.near_data, o.held,
-                                             urgent ? o.slow : !o.slow, !o.keeps_large,
-                                             urgent ? -o.speed : 0.0, o.worker->id);
+                      return std::make_tuple(o.watched, o.contact_penalty, o.mixes_serving_and_filling,
+                                             !o.near_data, o.held, urgent ? o.slow : !o.slow,
+                                             !o.spares_large_slots, urgent ? -o.speed : 0.0, o.worker->id);
                   };
                   return key(a) < key(b);
               });
--- a/src/dispatch/dispatcher_preempt.cpp
+++ b/src/dispatch/dispatcher_preempt.cpp
@@ -33,8 +33,8 @@
 void dispatcher::preempt_for(const candidate& item, std::uint32_t need, monotonic_time now)
 {
     const bool pressing =
-        item.urgent() ||
-        (m_holds.contains(item.ref) && item.slack_ms < static_cast<double>(m_settings.gang_preempt.count()));
+        item.urgent() || (m_holds.contains(item.ref) &&
+                          item.slack_ms < static_cast<double>(m_settings.gang_preempt_slack.count()));
     if (!uses(mechanism::preemption) || item.missed() || !pressing ||
         now < m_preempted[item.ref] + preempt_gap)
     {
--- a/src/dispatch/dispatcher_reports.cpp
+++ b/src/dispatch/dispatcher_reports.cpp
@@ -98,7 +98,7 @@
     }
     if (!view.answered)
     {
-        view.note_clock(report.clock_ms, now);
+        view.update_clock(report.clock_ms, now);
     }
 }
 
@@ -139,12 +139,12 @@
 void dispatcher::ask_who_lives_there(const worker_report& report, worker_incarnation_id present,
                                      const std::function<void(bool)>& done)
 {
-    look_order question;
+    poll_order question;
     question.to = {worker_incarnation_id{}, report.description.id, report.description.process_start,
                    report.description.address, m_fence};
-    question.timeout = m_settings.look_patience;
-    m_hooks.look(question,
-                 [this, alive = m_alive, report, present, done](const look_answer& answer)
+    question.timeout = m_settings.poll_timeout;
+    m_hooks.poll(question,
+                 [this, alive = m_alive, report, present, done](const poll_answer& answer)
                  {
                      if (!*alive)
                      {
@@ -172,7 +172,7 @@
                  });
 }
 
-void dispatcher::admit(const worker_report& report, const look_answer& answer,
+void dispatcher::admit(const worker_report& report, const poll_answer& answer,
                        const std::function<void(bool)>& done)
 {
     const worker_incarnation* present = m_state.find_host(report.description.host);
--- a/src/dispatch/dispatcher_reserve.cpp
+++ b/src/dispatch/dispatcher_reserve.cpp
@@ -32,7 +32,7 @@
 
 std::optional<double> dispatcher::time_until_room_on(const candidate& item, const offer& o) const
 {
-    return time_until_room(o.room, forecast_runs(o), host_demand_of(*item.step));
+    return time_until_fit(o.room, forecast_runs(o), host_demand_of(*item.step));
 }
 
 std::vector<run_forecast> dispatcher::forecast_runs(const offer& o) const
@@ -57,7 +57,7 @@
     for (const auto& [ref, hold] : m_holds)
     {
         const bool other = !(ref == item.ref);
-        const bool competes = !hold.gathers && (item.missed() || !hold.missed);
+        const bool competes = !hold.is_gathering && (item.missed() || !hold.missed);
         count += other && competes ? hold.tasks.size() : 0;
     }
     return count;
@@ -71,7 +71,7 @@
     }
     const std::size_t pool = m_hosts.usable_in(item.pool);
     return std::max<std::size_t>(
-        1, static_cast<std::size_t>(static_cast<double>(pool) * m_settings.reserved_share));
+        1, static_cast<std::size_t>(static_cast<double>(pool) * m_settings.max_reserved_share));
 }
 
 // Reserves hosts for large tasks. Without this, a task that needs most of a host never starts in a busy pool,
@@ -117,11 +117,11 @@
               });
     const std::size_t wanted =
         std::min<std::size_t>({left, places.size(), max_hosts - std::min(max_hosts, others)});
-    room_hold next;
+    capacity_hold next;
     next.each = host_demand_of(*item.step);
     next.missed = item.missed();
-    next.gathers = false;
-    next.grew = now;
+    next.is_gathering = false;
+    next.last_growth = now;
     for (std::size_t i = 0; i < wanted; ++i)
     {
         next.tasks[places[i].at.worker->id] = 1;
@@ -153,8 +153,8 @@
 
 // Reserved hosts on which the task is expected to fit by the time a query about them is answered, and that
 // have no ticket that is still valid then.
-std::vector<worker_incarnation_id> dispatcher::hosts_soon_free(const candidate& item, const room_hold& hold,
-                                                               monotonic_time now)
+std::vector<worker_incarnation_id> dispatcher::hosts_soon_free(const candidate& item,
+                                                               const capacity_hold& hold, monotonic_time now)
 {
     std::vector<worker_incarnation_id> soon;
     if (item.queue == nullptr || !item.queue->advised)
@@ -191,7 +191,7 @@
     for (const offer& o : find_offers(item, now))
     {
         const bool large = o.whole > 0 && o.whole <= most_large_per_host;
-        if (large && !known.entries.contains(o.worker->id) && unknown.size() < most_asked)
+        if (large && !known.entries.contains(o.worker->id) && unknown.size() < max_workers_per_question)
         {
             unknown.push_back(o.worker->id);
         }
--- a/src/dispatch/dispatcher_restarts.cpp
+++ b/src/dispatch/dispatcher_restarts.cpp
@@ -26,7 +26,7 @@
 
 // A new incarnation answers under the id of the known one. It is admitted with the known description of its
 // host, so that its runs and their ends are recorded; new work goes there once it has reported.
-void dispatcher::take_restart(worker_view& view, const look_answer& answer, monotonic_time now)
+void dispatcher::take_restart(worker_view& view, const poll_answer& answer, monotonic_time now)
 {
     if (view.drop_proposed)
     {
@@ -60,14 +60,14 @@
     sync_views(now);
     const worker_incarnation* admitted = m_state.find_incarnation(incarnation);
     worker_view* view = admitted == nullptr ? nullptr : view_of(admitted->id);
-    if (view != nullptr && !view->look_in_flight && !view->answered)
+    if (view != nullptr && !view->poll_in_flight && !view->answered)
     {
         look_at(*view, now);
     }
 }
 
 // Runs that ended with the former incarnation: all it was ordered to run, except those the new one lists.
-std::vector<lost_run> dispatcher::lost_at_restart(const worker_view& former, const look_answer& answer,
+std::vector<lost_run> dispatcher::lost_at_restart(const worker_view& former, const poll_answer& answer,
                                                   monotonic_time now) const
 {
     std::vector<lost_run> lost = runs_lost_with(former, now);
@@ -92,7 +92,7 @@
     for (const auto& [run, known] : view.runs)
     {
         if (known.carried_over && !known.outcome_known_at && !known.inherited && !known.listed &&
-            !known.stop_settled)
+            !known.stop_outcome_known_at)
         {
             open.push_back(run);
         }
--- a/src/dispatch/dispatcher_rests.cpp
+++ b/src/dispatch/dispatcher_rests.cpp
@@ -17,23 +17,24 @@
 // connection: each poll would take one away from a worker that has work.
 bool dispatcher::may_rest(const worker_view& view) const
 {
-    return m_views.size() > m_settings.look_connections && view.runs.empty() && view.late_starts.empty();
+    return m_views.size() > m_settings.poll_connections && view.runs.empty() &&
+           view.unanswered_starts.empty();
 }
 
 // Unless the leader is partitioned, at least one worker answers within that time.
 duration dispatcher::longest_quiet() const
 {
-    const bool polled_rarely = m_views.size() > m_settings.look_connections;
+    const bool polled_rarely = m_views.size() > m_settings.poll_connections;
     return m_settings.silent_after() +
-           (polled_rarely ? max_idle_poll_factor * m_settings.idle_look_gap : milliseconds(0));
+           (polled_rarely ? max_idle_poll_factor * m_settings.idle_poll_interval : milliseconds(0));
 }
 
 void dispatcher::poll_rarely(worker_view& view, monotonic_time now) const
 {
     // Spreads the polls, as all workers answer a new leader at about the same time.
-    const auto spread = m_settings.idle_look_gap / 4 * (view.id.value() % 4U) / 4;
-    view.look_due = now + m_settings.idle_look_gap + spread;
-    view.contact.poll_rarely(view.look_due);
+    const auto spread = m_settings.idle_poll_interval / 4 * (view.id.value() % 4U) / 4;
+    view.poll_due = now + m_settings.idle_poll_interval + spread;
+    view.contact.poll_rarely(view.poll_due);
 }
 
 // Polls one idle worker, whose answer tells whether the leader is partitioned.
@@ -46,14 +47,14 @@
                                           });
     if (idle_worker != m_views.end())
     {
-        end_rest(idle_worker->second, now);
+        poll_promptly(idle_worker->second, now);
     }
 }
 
-void dispatcher::end_rest(worker_view& view, monotonic_time now)
+void dispatcher::poll_promptly(worker_view& view, monotonic_time now)
 {
-    view.look_due = std::min(view.look_due, now);
-    view.contact.end_rest(now);
+    view.poll_due = std::min(view.poll_due, now);
+    view.contact.poll_promptly(now);
 }
 
 } // namespace walkthread
--- a/src/dispatch/dispatcher_sharing.cpp
+++ b/src/dispatch/dispatcher_sharing.cpp
@@ -20,13 +20,13 @@
 
 // Sets the pace of filling tasks from the tail latencies that serving tasks on the host report:
 // halves it while the target is exceeded, pauses them if that lasts, and raises it again in small steps.
-void dispatcher::pace_fillers(worker_view& view, const look_answer& answer, monotonic_time now)
+void dispatcher::pace_fillers(worker_view& view, const poll_answer& answer, monotonic_time now)
 {
     bool over = false;
     bool low = true;
     view.serving = 0;
     view.filling = 0;
-    for (const listed_run& listed : answer.running)
+    for (const reported_run& listed : answer.running)
     {
         const step_spec* step = m_state.find(listed.run.task.step);
         if (step == nullptr)
@@ -54,7 +54,7 @@
     else
     {
         view.over_target_since.reset();
-        if (low && now - view.pace_changed >= m_settings.pace_rise_after)
+        if (low && now - view.pace_changed >= m_settings.pace_rise_interval)
         {
             view.filler_pace = std::min(full_pace, view.filler_pace + pace_gain);
             view.pace_changed = now;
@@ -69,12 +69,12 @@
     {
         view.over_target_since = now;
     }
-    if (now - *view.over_target_since >= m_settings.harm_patience)
+    if (now - *view.over_target_since >= m_settings.over_target_tolerance)
     {
         view.filler_pace = 0;
         view.pace_changed = now;
     }
-    else if (now - view.pace_changed >= m_settings.pace_settles)
+    else if (now - view.pace_changed >= m_settings.pace_settling_time)
     {
         const std::int32_t half = view.filler_pace / 2;
         view.filler_pace = half < least_pace ? 0 : half;
@@ -148,7 +148,7 @@
     // An earlier leader may have stopped it a moment ago, unknown to this one. Without this check, two tasks
     // of a step that may miss one were stopped around a change of leader.
     if (known != view->runs.end() && known->second.inherited &&
-        view->contact.last_heard() < m_term_start + m_settings.stops_show)
+        view->contact.last_heard() < m_term_start + m_settings.stop_effect_delay)
     {
         return false;
     }
--- a/src/dispatch/dispatcher_suspects.cpp
+++ b/src/dispatch/dispatcher_suspects.cpp
@@ -55,15 +55,15 @@
                                                                monotonic_time now) const
 {
     const worker_view& view = m_views.at(o.worker->id);
-    const bool beside_recent_start =
-        std::any_of(view.runs.begin(), view.runs.end(),
-                    [this, &item, now](const auto& there)
-                    {
-                        const bool other = there.first.task.step.submission != item.ref.submission;
-                        return other && (!there.second.outcome_known_at ||
-                                         now - *there.second.outcome_known_at <= m_settings.just_began);
-                    });
-    return {o.doubt, beside_recent_start, view.runs.size()};
+    const bool beside_recent_start = std::any_of(
+        view.runs.begin(), view.runs.end(),
+        [this, &item, now](const auto& there)
+        {
+            const bool other = there.first.task.step.submission != item.ref.submission;
+            return other && (!there.second.outcome_known_at ||
+                             now - *there.second.outcome_known_at <= m_settings.startup_crash_window);
+        });
+    return {o.contact_penalty, beside_recent_start, view.runs.size()};
 }
 
 } // namespace walkthread
--- a/src/dispatch/dispatcher_unheard.cpp
+++ b/src/dispatch/dispatcher_unheard.cpp
@@ -33,7 +33,7 @@
     for (const auto& [id, view] : m_views)
     {
         const worker_incarnation* worker = m_state.find(id);
-        const bool unheard = view.contact.unheard_for(now) > m_settings.lease;
+        const bool unheard = view.contact.time_since_contact(now) > m_settings.lease;
         if (!unheard || worker == nullptr || worker->occupied.empty())
         {
             continue;
@@ -49,8 +49,8 @@
     const worker_incarnation& worker = *m_state.find(longest->id);
     const failed_calls& failed = longest->contact.failed();
     log_event(now, "worker_unheard", worker.description.id,
-              {{"unheard_ms", longest->contact.unheard_for(now)},
-               {"kept_as", name_of(why_kept(*longest, m_hearing, now, m_settings))},
+              {{"unheard_ms", longest->contact.time_since_contact(now)},
+               {"kept_as", name_of(find_drop_blocker(*longest, m_hearing, now, m_settings))},
                {"runs", worker.occupied.size()},
                {"run", name_of(worker.occupied.begin()->first)},
                {"runs_on_unheard_workers", m_unheard_runs},
--- a/src/dispatch/dispatcher_upkeep.cpp
+++ b/src/dispatch/dispatcher_upkeep.cpp
@@ -10,7 +10,7 @@
 
 namespace
 {
-constexpr duration order_retry = milliseconds(400); // per host, as calls are rate-limited
+constexpr duration order_retry_delay = milliseconds(400); // per host, as calls are rate-limited
 constexpr double hurry_part = 0.6; // share of a wave's time after which runs are stopped, not waited for
 } // namespace
 
@@ -35,7 +35,8 @@
         m_upkeep_absent.erase(host);
         return false;
     }
-    const bool lost = now - m_upkeep_absent.emplace(host, now).first->second > m_settings.upkeep_lost;
+    const bool lost =
+        now - m_upkeep_absent.emplace(host, now).first->second > m_settings.maintenance_lost_timeout;
     if (lost)
     {
         m_upkeep_passed.insert(host);
@@ -59,7 +60,7 @@
         m_upkeep_blocked.erase(host);
         return false;
     }
-    return now - m_upkeep_blocked.emplace(host, now).first->second > m_settings.upkeep_blocked;
+    return now - m_upkeep_blocked.emplace(host, now).first->second > m_settings.maintenance_blocked_timeout;
 }
 
 // The hosts to drain now, at most `wave.at_once` down at a time. Hosts with an order in progress go first,
@@ -85,7 +86,7 @@
     }
     // An earlier leader has let other hosts pass ordered ones. Which of the ordered hosts are down is unknown
     // until all of them must be back.
-    if (down + turns[0].size() > wave.at_once && now - m_term_start <= m_settings.upkeep_lost)
+    if (down + turns[0].size() > wave.at_once && now - m_term_start <= m_settings.maintenance_lost_timeout)
     {
         return {};
     }
@@ -138,7 +139,7 @@
             continue;
         }
         m_upkeep_in_flight.insert(host);
-        m_upkeep_retry[host] = now + order_retry;
+        m_upkeep_retry[host] = now + order_retry_delay;
         const auto on_order_answer =
             [this, alive = m_alive, number = wave.wave, host = host](const order_answer& answer)
         {
@@ -186,12 +187,12 @@
     const monotonic_time since = taken == m_upkeep_taken.end() ? m_term_start : taken->second;
     const worker_view* view = view_of(worker.id);
     m_upkeep_hosts.insert(host);
-    if (view == nullptr || view->answered_look < since + m_settings.upkeep_shows ||
+    if (view == nullptr || view->answered_poll_sent < since + m_settings.maintenance_effect_delay ||
         now < m_upkeep_retry[host])
     {
         return;
     }
-    m_upkeep_retry[host] = now + order_retry;
+    m_upkeep_retry[host] = now + order_retry_delay;
     log_event(now, "upkeep_over", host, {{"wave", wave.wave}, {"worker", worker.description.id}});
     m_hooks.propose(
         advance_maintenance{wave.wave, host, static_cast<std::uint8_t>(maintenance_phase::finished)},
--- a/src/dispatch/dispatcher_waiting.cpp
+++ b/src/dispatch/dispatcher_waiting.cpp
@@ -87,8 +87,8 @@
     std::size_t named = 0;
     for (const auto& [ref, hold] : m_holds)
     {
-        const bool gathers = hold.gathers && !(ref == longest->ref);
-        if (gathers && named++ < most_named)
+        const bool is_gathering = hold.is_gathering && !(ref == longest->ref);
+        if (is_gathering && named++ < most_named)
         {
             gathering.append(gathering.empty() ? 0 : 1, ' ').append(name_of(ref));
         }
@@ -117,7 +117,7 @@
     const step_spec& step = owner.spec.steps[ref.step];
     const resources need = host_demand_of(step);
     const pool_number pool = m_hosts.number_of(owner.pool);
-    std::array<std::int64_t, host_reason_names.size()> hosts{};
+    std::array<std::int64_t, host_availability_names.size()> hosts{};
     std::int64_t without_room = 0;
     for (std::size_t place = 0; place < m_hosts.size(); ++place)
     {
@@ -139,14 +139,14 @@
     if (advised)
     {
         const step_advice& known = m_advice.of(ref);
-        questions = known.open_questions;
+        questions = known.pending_questions;
         tickets = std::count_if(known.entries.begin(), known.entries.end(),
                                 [this, now](const auto& item)
                                 {
                                     return m_advice.usable(item.second, now, m_settings.ticket_margin);
                                 });
     }
-    const auto of = [&hosts](host_reason reason)
+    const auto of = [&hosts](host_availability reason)
     {
         return hosts.at(static_cast<std::size_t>(reason));
     };
@@ -163,15 +163,15 @@
                {"questions", questions},
                {"suspects", m_state.crashes().suspects().size()},
                {"without_room", without_room},
-               {"usable", of(host_reason::usable)},
-               {"dropped", of(host_reason::dropped)},
-               {"unanswered", of(host_reason::unanswered)},
-               {"unreported", of(host_reason::unreported)},
-               {"silent", of(host_reason::silent)},
-               {"doubted", of(host_reason::doubted)},
-               {"leaving", of(host_reason::leaving)},
-               {"avoided", of(host_reason::avoided)},
-               {"closed", of(host_reason::closed)}});
+               {"usable", of(host_availability::usable)},
+               {"dropped", of(host_availability::dropped)},
+               {"unanswered", of(host_availability::unanswered)},
+               {"unreported", of(host_availability::unreported)},
+               {"silent", of(host_availability::silent)},
+               {"doubted", of(host_availability::doubted)},
+               {"leaving", of(host_availability::leaving)},
+               {"avoided", of(host_availability::avoided)},
+               {"closed", of(host_availability::closed)}});
 }
 
 } // namespace walkthread
--- a/src/dispatch/dispatcher_workers.cpp
+++ b/src/dispatch/dispatcher_workers.cpp
@@ -29,12 +29,12 @@
     for (auto& [id, view] : m_views)
     {
         const bool overdue =
-            view.look_in_flight && now - view.look_sent > m_settings.look_wait + 2 * m_settings.look_patience;
+            view.poll_in_flight && now - view.poll_sent > m_settings.poll_wait + 2 * m_settings.poll_timeout;
         if (overdue)
         {
-            view.look_in_flight = false; // a late answer still counts
+            view.poll_in_flight = false; // a late answer still counts
         }
-        if (!view.look_in_flight && !view.ends_commit_pending && !view.drop_proposed && now >= view.look_due)
+        if (!view.poll_in_flight && !view.ends_commit_pending && !view.drop_proposed && now >= view.poll_due)
         {
             look_at(view, now);
         }
@@ -48,28 +48,29 @@
     {
         return;
     }
-    look_order order;
+    poll_order order;
     order.to = address_of(view.id);
     order.last_seen = worker->ends_recorded_up_to;
     // A worker whose answers are lost may still receive polls. Its lease has to expire at some time, so a
     // poll of an unresponsive worker does not renew it.
-    const bool unresponsive = view.contact.unheard_for(now) > m_settings.silent_after();
+    const bool unresponsive = view.contact.time_since_contact(now) > m_settings.silent_after();
     if (view.clock_known && !unresponsive)
     {
-        order.until_ms = view.grant_lease(now, std::min(m_settings.lease, m_settings.lease_cap));
+        order.until_ms = view.grant_lease(now, std::min(m_settings.lease, m_settings.max_lease));
     }
     const bool shared = view.serving > 0 && view.filling > 0;
-    const milliseconds wait = looks_get_lost() ? m_settings.short_look_wait
-                              : shared         ? m_settings.sharing_look_wait
-                                               : m_settings.look_wait;
+    const milliseconds wait = looks_get_lost() ? m_settings.short_poll_wait
+                              : shared         ? m_settings.colocation_poll_wait
+                                               : m_settings.poll_wait;
     // Unanswered orders are resolved by the list of runs, which a poll that waits for an end would delay.
-    const bool waits = view.answered && !view.settles() && !view.has_open_start() && !may_rest(view);
+    const bool waits =
+        view.answered && !view.has_unresolved_runs() && !view.has_unresolved_start() && !may_rest(view);
     order.wait_ms = waits ? wait.count() : 0;
-    order.timeout = looks_get_lost() ? m_settings.short_look_patience : m_settings.look_patience;
-    view.look_in_flight = true;
-    view.look_sent = now;
-    m_hooks.look(order,
-                 [this, alive = m_alive, worker_id = view.id, now](const look_answer& answer)
+    order.timeout = looks_get_lost() ? m_settings.short_poll_timeout : m_settings.poll_timeout;
+    view.poll_in_flight = true;
+    view.poll_sent = now;
+    m_hooks.poll(order,
+                 [this, alive = m_alive, worker_id = view.id, now](const poll_answer& answer)
                  {
                      if (*alive)
                      {
@@ -81,14 +82,14 @@
 // Only polls of responsive workers count, as those of failed ones say nothing about lost messages.
 void dispatcher::note_look(const worker_view& view, bool lost, monotonic_time now)
 {
-    const bool responsive = view.contact.unheard_for(now) < m_settings.silent_after();
+    const bool responsive = view.contact.time_since_contact(now) < m_settings.silent_after();
     if (responsive)
     {
         m_lost_looks += look_weight * ((lost ? 1.0 : 0.0) - m_lost_looks);
     }
 }
 
-void dispatcher::handle_poll_answer(worker_incarnation_id worker, const look_answer& answer,
+void dispatcher::handle_poll_answer(worker_incarnation_id worker, const poll_answer& answer,
                                     monotonic_time sent, monotonic_time now)
 {
     worker_view* view = view_of(worker);
@@ -96,11 +97,11 @@
     {
         return;
     }
-    if (view->look_sent == sent)
+    if (view->poll_sent == sent)
     {
-        view->look_in_flight = false;
+        view->poll_in_flight = false;
     }
-    if (answer.outcome == order_outcome::other_life)
+    if (answer.outcome == order_outcome::wrong_incarnation)
     {
         drop_replaced(*view, now);
         return;
@@ -110,7 +111,7 @@
     const bool from_other_process = answer.outcome == order_outcome::accepted &&
                                     known != process_start_ms{} && answer.process_start == process_start_ms{};
     const bool lost = answer.outcome == order_outcome::unanswered || from_other_process;
-    if (!never_left(answer.outcome)) // a poll that was not sent was not lost
+    if (!surely_not_executed(answer.outcome)) // a poll that was not sent was not lost
     {
         note_look(*view, lost, now);
     }
@@ -123,9 +124,9 @@
             keep_last_word(*view, now);
         }
         const bool first = lost && !view->contact.doubted();
-        view->contact.note_failed_look(answer.outcome, sent, now); // a refused poll renews no lease either
-        view->look_due = at_once ? now : now + m_settings.look_retry;
-        if (first && !view->look_in_flight && !view->ends_commit_pending)
+        view->contact.record_failed_poll(answer.outcome, sent, now); // a refused poll renews no lease either
+        view->poll_due = at_once ? now : now + m_settings.poll_retry_delay;
+        if (first && !view->poll_in_flight && !view->ends_commit_pending)
         {
             look_at(*view, now); // the sooner a failure is known, the less is lost if this leader fails too
         }
@@ -134,27 +135,28 @@
     if (answer.process_start != known)
     {
         // If the known incarnation answered after this poll was sent, it is unclear which of them is newer.
-        view->look_due = now;
+        view->poll_due = now;
         if (sent >= view->contact.last_heard())
         {
             take_restart(*view, answer, now);
         }
         return;
     }
-    view->look_due = now;
-    view->contact.note_answer(now);
-    m_hearing.note_answer(now, longest_quiet());
-    view->answered_look = std::max(view->answered_look, sent);
-    view->note_clock(answer.clock_ms, now);
+    view->poll_due = now;
+    view->contact.record_answer(now);
+    m_hearing.record_answer(now, longest_quiet());
+    view->answered_poll_sent = std::max(view->answered_poll_sent, sent);
+    view->update_clock(answer.clock_ms, now);
     take_runs(*view, answer, now);
     pace_fillers(*view, answer, now);
     take_ends(*view, answer, sent, now);
     rule_out_late_starts(*view, now);
     view->answered = true;
     forget_last_word(*view);
-    if (view->rules_out() || view->has_open_start())
+    if (view->has_pending_stops() || view->has_unresolved_start())
     {
-        view->look_due = now + m_settings.look_retry; // answers to the open orders trigger a poll earlier
+        view->poll_due =
+            now + m_settings.poll_retry_delay; // answers to the open orders trigger a poll earlier
     }
     else if (!view->ends_commit_pending && may_rest(*view))
     {
@@ -167,13 +169,13 @@
     m_hooks.wake();
 }
 
-void dispatcher::take_runs(worker_view& view, const look_answer& answer, monotonic_time now)
+void dispatcher::take_runs(worker_view& view, const poll_answer& answer, monotonic_time now)
 {
     for (auto& [run, known] : view.runs)
     {
         known.listed = false;
     }
-    for (const listed_run& listed : answer.running)
+    for (const reported_run& listed : answer.running)
     {
         const auto found = view.runs.find(listed.run);
         if (found == view.runs.end())
@@ -195,7 +197,7 @@
         if (listed.percent > known.percent)
         {
             known.percent = listed.percent;
-            known.progressed = now;
+            known.last_progress = now;
         }
         if (!m_state.needs_run(listed.run) && !m_state.closing().contains(listed.run.task.step.submission))
         {
@@ -209,7 +211,7 @@
     }
 }
 
-void dispatcher::take_ends(worker_view& view, const look_answer& answer, monotonic_time sent,
+void dispatcher::take_ends(worker_view& view, const poll_answer& answer, monotonic_time sent,
                            monotonic_time now)
 {
     const worker_incarnation& worker = *m_state.find(view.id);
@@ -217,7 +219,7 @@
     command.worker = view.id;
     std::set<run_ref> ended;
     std::set<run_ref> absent; // starts recorded by an earlier leader that the worker does not list
-    for (const listed_end& end : answer.ended)
+    for (const reported_end& end : answer.ended)
     {
         command.ends_recorded_up_to = std::max(command.ends_recorded_up_to, end.number);
         if (end.number > worker.ends_recorded_up_to)
@@ -238,7 +240,7 @@
         }
         const run_view& known = found->second;
         const bool settled_before = known.outcome_known_at && *known.outcome_known_at < sent;
-        const bool stopped_before = known.stop_settled && *known.stop_settled < sent;
+        const bool stopped_before = known.stop_outcome_known_at && *known.stop_outcome_known_at < sent;
         if (known.inherited || settled_before || stopped_before)
         {
             log_event(now, "run_absent", name_of(run),
@@ -282,7 +284,7 @@
                                 later->runs.erase(end.run);
                             }
                         }
-                        if (!later->look_in_flight)
+                        if (!later->poll_in_flight)
                         {
                             look_at(*later, m_hooks.now());
                         }
@@ -296,7 +298,7 @@
     for (const run_ref& run : absent)
     {
         const submission* owner = m_state.find(run.task.step.submission);
-        if (owner != nullptr && shows_no_beginning(*owner))
+        if (owner != nullptr && shows_no_start(*owner))
         {
             m_unconfirmed.add(owner->id, owner->queue);
         }
@@ -342,7 +344,7 @@
 }
 
 // Learns run times and the worker's speed from an end, and avoids workers on which runs keep failing.
-void dispatcher::judge_end(worker_view& view, const listed_end& end, monotonic_time now)
+void dispatcher::judge_end(worker_view& view, const reported_end& end, monotonic_time now)
 {
     const submission* owner = m_state.find(end.run.task.step.submission);
     const auto known = view.runs.find(end.run);
@@ -360,18 +362,18 @@
     const step_spec& step = *spec;
     if (end.how == run_end::broken)
     {
-        view.note_broken_gang(end.run);
+        view.record_broken_gang(end.run);
     }
     if (end.how == run_end::completed)
     {
-        view.failures_in_row = 0;
+        view.consecutive_failures = 0;
         view.next_quarantine = m_settings.quarantine;
         if (!step.long_running && !known->second.inherited && m_state.find(end.run.task) != nullptr &&
             m_state.find(end.run.task)->checkpoint.empty())
         {
             const std::int64_t took_ms = std::chrono::duration_cast<milliseconds>(took).count();
             const double expected = m_objectives.expected_ms(owner->queue, step);
-            m_objectives.note_run(owner->queue, step.estimate_ms, took_ms);
+            m_objectives.record_run(owner->queue, step.estimate_ms, took_ms);
             const double sound = std::min(1.0, sound_spread / m_objectives.relative_variance(owner->queue));
             const double seen = std::clamp(expected / static_cast<double>(std::max<std::int64_t>(took_ms, 1)),
                                            least_speed, most_speed);
@@ -385,15 +387,15 @@
              uses(mechanism::quarantine))
     {
         view.last_failed = owner->id;
-        if (++view.failures_in_row >= m_settings.quarantine_failures)
+        if (++view.consecutive_failures >= m_settings.quarantine_failures)
         {
             view.avoid_until = now + view.next_quarantine;
             log_event(now, "worker_avoided", m_state.find(view.id)->description.id,
                       {{"reason", "consecutive failures"},
-                       {"failures", view.failures_in_row},
+                       {"failures", view.consecutive_failures},
                        {"for_ms", duration(view.next_quarantine)}});
-            view.next_quarantine = std::min(2 * view.next_quarantine, m_settings.quarantine_cap);
-            view.failures_in_row = m_settings.quarantine_failures - 1;
+            view.next_quarantine = std::min(2 * view.next_quarantine, m_settings.max_quarantine);
+            view.consecutive_failures = m_settings.quarantine_failures - 1;
         }
     }
 }
@@ -403,9 +405,9 @@
     bool leader_may_be_partitioned = false;
     for (auto& [id, view] : m_views)
     {
-        const keep_reason kept = why_kept(view, m_hearing, now, m_settings);
-        leader_may_be_partitioned = leader_may_be_partitioned || kept == keep_reason::nobody_heard;
-        if (kept == keep_reason::none)
+        const drop_blocker kept = find_drop_blocker(view, m_hearing, now, m_settings);
+        leader_may_be_partitioned = leader_may_be_partitioned || kept == drop_blocker::leader_may_be_isolated;
+        if (kept == drop_blocker::none)
         {
             drop_worker_life(view, "lease expired without an answer", false, now);
         }
--- a/src/dispatch/gang_reservations.cpp
+++ b/src/dispatch/gang_reservations.cpp
@@ -8,25 +8,26 @@
 
 namespace
 {
-constexpr double kept_factor = 0.5;
+constexpr double reserved_host_weight = 0.5;
 } // namespace
 
-std::optional<gang_reservation> reserve_soonest(const std::vector<host_outlook>& hosts, std::uint32_t count)
+std::optional<gang_reservation> choose_earliest_hosts(const std::vector<host_forecast>& hosts,
+                                                      std::uint32_t count)
 {
     struct place
     {
-        double rated_ms;
-        bool moves;
+        double weighted_ms;
+        bool not_reserved;
         double ready_ms;
         worker_incarnation_id worker;
     };
     std::vector<place> places;
-    for (const host_outlook& host : hosts)
+    for (const host_forecast& host : hosts)
     {
         for (const double ready_ms : host.ready_ms)
         {
             places.push_back(
-                {host.kept ? ready_ms * kept_factor : ready_ms, !host.kept, ready_ms, host.worker});
+                {host.kept ? ready_ms * reserved_host_weight : ready_ms, !host.kept, ready_ms, host.worker});
         }
     }
     if (places.size() < count)
@@ -36,7 +37,8 @@
     std::sort(places.begin(), places.end(),
               [](const place& a, const place& b)
               {
-                  return std::tie(a.rated_ms, a.moves, a.worker) < std::tie(b.rated_ms, b.moves, b.worker);
+                  return std::tie(a.weighted_ms, a.not_reserved, a.worker) <
+                         std::tie(b.weighted_ms, b.not_reserved, b.worker);
               });
     gang_reservation out;
     for (std::uint32_t i = 0; i < count; ++i)
@@ -49,7 +51,7 @@
 
 reservation_review::reservation_review(const reservation_settings& settings, const resources& room,
                                        const resources& in_use)
-    : m_settings(settings), m_room(room), m_idle(dominant_share(in_use, room) < settings.idle_below)
+    : m_settings(settings), m_room(room), m_idle(dominant_share(in_use, room) < settings.idle_threshold)
 {
 }
 
@@ -77,7 +79,7 @@
 
 bool may_backfill(double run_ms, monotonic_time due, monotonic_time now, const reservation_settings& settings)
 {
-    const std::chrono::duration<double, std::milli> needed(settings.backfill_spare * run_ms);
+    const std::chrono::duration<double, std::milli> needed(settings.backfill_safety_factor * run_ms);
     return now + needed <= due;
 }
 
--- a/src/dispatch/host_reason.cpp
+++ b/src/dispatch/host_reason.cpp
@@ -3,38 +3,38 @@
 namespace walkthread
 {
 
-host_reason availability_of(const worker_view& view, const worker_incarnation& worker, bool closed,
-                            monotonic_time now, const dispatch_settings& settings)
+host_availability availability_of(const worker_view& view, const worker_incarnation& worker, bool closed,
+                                  monotonic_time now, const dispatch_settings& settings)
 {
     if (view.drop_proposed)
     {
-        return host_reason::dropped;
+        return host_availability::dropped;
     }
     if (!view.answered)
     {
-        return host_reason::unanswered;
+        return host_availability::unanswered;
     }
     if (worker.assumed)
     {
-        return host_reason::unreported;
+        return host_availability::unreported;
     }
-    if (view.contact.unheard_for(now) >= settings.silent_after())
+    if (view.contact.time_since_contact(now) >= settings.silent_after())
     {
-        return host_reason::silent;
+        return host_availability::silent;
     }
     if (view.contact.doubted())
     {
-        return host_reason::doubted;
+        return host_availability::doubted;
     }
     if (view.draining || worker.leaving)
     {
-        return host_reason::leaving;
+        return host_availability::leaving;
     }
     if (now < view.avoid_until)
     {
-        return host_reason::avoided;
+        return host_availability::avoided;
     }
-    return closed ? host_reason::closed : host_reason::usable;
+    return closed ? host_availability::closed : host_availability::usable;
 }
 
 } // namespace walkthread
--- a/src/dispatch/host_table.cpp
+++ b/src/dispatch/host_table.cpp
@@ -21,7 +21,7 @@
 {
     m_rows.clear();
     m_places.clear();
-    m_rooms.clear();
+    m_capacities.clear();
     m_rows.reserve(m_state.workers().size());
     for (const auto& [id, worker] : m_state.workers())
     {
@@ -30,13 +30,13 @@
         row.view = &m_views.at(id);
         const auto next = static_cast<std::uint32_t>(m_pools.size() + 1);
         row.pool = m_pools.emplace(worker.description.pool, pool_number{next}).first->second;
-        m_rooms[row.pool] += worker.description.size;
+        m_capacities[row.pool] += worker.description.size;
         m_places.emplace(id, m_rows.size());
         m_rows.push_back(row);
     }
 }
 
-void host_table::work_out(host_row& row) const
+void host_table::recompute(host_row& row) const
 {
     const worker_incarnation& worker = *row.worker;
     const auto held = m_held.find(worker.id);
@@ -44,7 +44,7 @@
     row.free = held == m_held.end() ? row.open : row.open - held->second;
     const bool closed = !m_closed.empty() && m_closed.contains(worker.description.host);
     row.reason = availability_of(*row.view, worker, closed, m_now, m_settings);
-    row.usable = row.reason == host_reason::usable;
+    row.usable = row.reason == host_availability::usable;
     row.stamp = m_pass;
 }
 
@@ -53,7 +53,7 @@
     host_row& row = m_rows[place];
     if (row.stamp != m_pass)
     {
-        work_out(row);
+        recompute(row);
     }
     return row;
 }
@@ -72,8 +72,8 @@
 
 resources host_table::host_demand_of(pool_number pool) const
 {
-    const auto found = m_rooms.find(pool);
-    return found == m_rooms.end() ? resources{} : found->second;
+    const auto found = m_capacities.find(pool);
+    return found == m_capacities.end() ? resources{} : found->second;
 }
 
 std::size_t host_table::usable_in(pool_number pool)
--- a/src/dispatch/keep_reason.cpp
+++ b/src/dispatch/keep_reason.cpp
@@ -5,7 +5,7 @@
 namespace walkthread
 {
 
-std::string_view name_of(keep_reason reason)
+std::string_view name_of(drop_blocker reason)
 {
     constexpr std::array<std::string_view, 6> names{
         "nothing; it is dropped next",   "it answered recently",
@@ -14,28 +14,28 @@
     return names.at(static_cast<std::size_t>(reason));
 }
 
-keep_reason why_kept(const worker_view& view, const hearing_spell& hearing, monotonic_time now,
-                     const dispatch_settings& settings)
+drop_blocker find_drop_blocker(const worker_view& view, const contact_streak& hearing, monotonic_time now,
+                               const dispatch_settings& settings)
 {
     if (view.drop_proposed)
     {
-        return keep_reason::drop_under_way;
+        return drop_blocker::drop_in_progress;
     }
-    if (view.contact.unheard_for(now) <= settings.silent_after())
+    if (view.contact.time_since_contact(now) <= settings.silent_after())
     {
-        return keep_reason::heard;
+        return drop_blocker::heard;
     }
-    const std::optional<monotonic_time> asked = view.contact.asked_in_vain();
+    const std::optional<monotonic_time> asked = view.contact.last_failed_poll();
     if (!asked)
     {
-        return keep_reason::no_failed_poll;
+        return drop_blocker::no_failed_poll;
     }
-    if (!view.lease_surely_over(*asked, settings.clock_drift))
+    if (!view.lease_surely_expired(*asked, settings.clock_drift))
     {
-        return keep_reason::lease_may_hold;
+        return drop_blocker::lease_may_be_valid;
     }
     const bool others_heard = *asked >= hearing.since() && hearing.last() > *asked;
-    return others_heard ? keep_reason::none : keep_reason::nobody_heard;
+    return others_heard ? drop_blocker::none : drop_blocker::leader_may_be_isolated;
 }
 
 } // namespace walkthread
--- a/src/dispatch/lost_runs.cpp
+++ b/src/dispatch/lost_runs.cpp
@@ -8,7 +8,7 @@
 
 namespace
 {
-constexpr double surely_at_work = 0.5; // fraction of the expected run time, which is often inaccurate
+constexpr double min_run_time_fraction = 0.5; // fraction of the expected run time, which is often inaccurate
 
 // Time of the last answer of any kind.
 monotonic_time last_contact_time(const worker_view& view)
@@ -23,7 +23,7 @@
 
 // Share of each run, by the number of submissions with tasks that had just started. Tasks of one submission
 // don't share the blame: if one of them is at fault, the submission is failed as a whole.
-std::uint32_t share_of_each(std::size_t submissions)
+std::uint32_t blame_per_run(std::size_t submissions)
 {
     return submissions == 1   ? blame::only_recent_submission
            : submissions == 2 ? blame::one_of_two_submissions
@@ -31,44 +31,47 @@
 }
 } // namespace
 
-std::vector<lost_run> share_blame(const worker_view& view, duration just_began, monotonic_time lost_at,
-                                  const std::function<duration(const run_ref&)>& run_time)
+std::vector<lost_run> assign_blame(const worker_view& view, duration startup_crash_window,
+                                   monotonic_time lost_at,
+                                   const std::function<duration(const run_ref&)>& run_time)
 {
     const monotonic_time latest = last_contact_time(view);
     // The start time of a run that an earlier leader started is unknown.
-    const auto started_recently = [latest, just_began](const run_view& known)
+    const auto started_recently = [latest, startup_crash_window](const run_view& known)
     {
-        return known.outcome_known_at && !known.inherited && latest - *known.outcome_known_at <= just_began;
+        return known.outcome_known_at && !known.inherited &&
+               latest - *known.outcome_known_at <= startup_crash_window;
     };
-    std::set<submission_id> just_begun;
+    std::set<submission_id> recently_started;
     for (const auto& [run, known] : view.runs)
     {
-        if (started_recently(known) && !view.broke_with_gang(run))
+        if (started_recently(known) && !view.ended_with_gang(run))
         {
-            just_begun.insert(run.task.step.submission);
+            recently_started.insert(run.task.step.submission);
         }
     }
     std::vector<lost_run> out;
     for (const auto& [run, known] : view.runs)
     {
-        const bool no_order_left = known.tries == 0 && !known.outcome_known_at && !known.inherited;
-        const bool blamed_before = known.carried_over && !known.listed; // when the former incarnation ended
-        if (no_order_left || blamed_before)
+        const bool no_order_sent = known.tries == 0 && !known.outcome_known_at && !known.inherited;
+        const bool blamed_already = known.carried_over && !known.listed; // when the former incarnation ended
+        if (no_order_sent || blamed_already)
         {
             continue;
         }
-        if (view.broke_with_gang(run))
+        if (view.ended_with_gang(run))
         {
             out.push_back({run, false, blame::min_share, known.checkpoint, true});
             continue;
         }
-        std::uint32_t share = started_recently(known) ? share_of_each(just_begun.size()) : blame::min_share;
-        if (just_begun.empty() && view.runs.size() == 1 && known.outcome_known_at)
+        std::uint32_t share =
+            started_recently(known) ? blame_per_run(recently_started.size()) : blame::min_share;
+        if (recently_started.empty() && view.runs.size() == 1 && known.outcome_known_at)
         {
             share = blame::one_of_many;
         }
-        const bool was_there =
-            known.outcome_known_at && lost_at - *known.outcome_known_at <= run_time(run) * surely_at_work;
+        const bool was_there = known.outcome_known_at &&
+                               lost_at - *known.outcome_known_at <= run_time(run) * min_run_time_fraction;
         out.push_back({run, was_there, share, known.checkpoint, false});
     }
     return out;
--- a/src/dispatch/room_forecast.cpp
+++ b/src/dispatch/room_forecast.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 // Removes runs that don't end by themselves and sorts the others by their end.
-void order_by_end(std::vector<run_forecast>& runs)
+void keep_ending_runs_by_end(std::vector<run_forecast>& runs)
 {
     std::erase_if(runs,
                   [](const run_forecast& run)
@@ -23,14 +23,14 @@
 }
 } // namespace
 
-std::optional<double> time_until_room(const resources& open, std::vector<run_forecast> runs,
-                                      const resources& need)
+std::optional<double> time_until_fit(const resources& open, std::vector<run_forecast> runs,
+                                     const resources& need)
 {
     if (fits(need, open))
     {
         return 0.0;
     }
-    order_by_end(runs);
+    keep_ending_runs_by_end(runs);
     resources room = open;
     for (const run_forecast& run : runs)
     {
@@ -43,11 +43,11 @@
     return std::nullopt;
 }
 
-std::vector<double> times_until_slots(const resources& open, std::vector<run_forecast> runs,
-                                      const std::function<std::uint32_t(const resources&)>& slots,
-                                      std::uint32_t most)
+std::vector<double> times_until_slots_fit(const resources& open, std::vector<run_forecast> runs,
+                                          const std::function<std::uint32_t(const resources&)>& slots,
+                                          std::uint32_t most)
 {
-    order_by_end(runs);
+    keep_ending_runs_by_end(runs);
     resources room = open;
     std::vector<double> times(std::min(slots(room), most), 0.0);
     for (auto run = runs.begin(); run != runs.end() && times.size() < most; ++run)
--- a/src/dispatch/unconfirmed_work.cpp
+++ b/src/dispatch/unconfirmed_work.cpp
@@ -13,14 +13,14 @@
     return owner != nullptr && owner->state() == submission_phase::running;
 }
 
-bool left_no_trace(const work_task& task)
+bool shows_no_activity(const work_task& task)
 {
     return task.state() == work_phase::waiting && task.run <= 1 && task.failures == 0 &&
            task.checkpoint.empty();
 }
 } // namespace
 
-void unconfirmed_work::prune(const workload_state& state)
+void unconfirmed_submissions::prune(const workload_state& state)
 {
     std::erase_if(m_queues,
                   [&state](const auto& item)
@@ -29,7 +29,7 @@
                   });
 }
 
-std::uint32_t unconfirmed_work::count(const std::string& queue, const workload_state& state) const
+std::uint32_t unconfirmed_submissions::count(const std::string& queue, const workload_state& state) const
 {
     return static_cast<std::uint32_t>(std::count_if(m_queues.begin(), m_queues.end(),
                                                     [&queue, &state](const auto& item)
@@ -39,7 +39,7 @@
                                                     }));
 }
 
-bool shows_no_beginning(const submission& owner)
+bool shows_no_start(const submission& owner)
 {
     return owner.state() == submission_phase::running &&
            std::all_of(owner.rounds.begin(), owner.rounds.end(),
@@ -49,7 +49,7 @@
                                               [](const step_progress& step)
                                               {
                                                   return std::all_of(step.tasks.begin(), step.tasks.end(),
-                                                                     left_no_trace);
+                                                                     shows_no_activity);
                                               });
                        });
 }
--- a/src/dispatch/worker_view.cpp
+++ b/src/dispatch/worker_view.cpp
@@ -13,7 +13,7 @@
 }
 } // namespace
 
-void worker_view::note_clock(std::int64_t ms, monotonic_time now)
+void worker_view::update_clock(std::int64_t ms, monotonic_time now)
 {
     // Keep the reading that puts the worker's clock furthest ahead: it had the shortest transfer time.
     if (!clock_known || ms >= clock_now(now) || now - clock_at > seconds(10))
@@ -29,7 +29,7 @@
     return clock_ms + to_ms(now - clock_at);
 }
 
-void worker_view::note_broken_gang(const run_ref& run)
+void worker_view::record_broken_gang(const run_ref& run)
 {
     std::erase_if(broken_gangs,
                   [this](const auto& item)
@@ -40,7 +40,7 @@
     broken_gangs[run.task.step] = run.run;
 }
 
-bool worker_view::broke_with_gang(const run_ref& run) const
+bool worker_view::ended_with_gang(const run_ref& run) const
 {
     const auto found = broken_gangs.find(run.task.step);
     return found != broken_gangs.end() && found->second == run.run;
@@ -68,31 +68,31 @@
         known.listed = known.order_in_flight = known.stop_in_flight = known.pace_in_flight = false;
         known.never_began_pending = false; // the pending commit concerns the former incarnation
         known.stop_retry = {};
-        known.stop_settled.reset();
+        known.stop_outcome_known_at.reset();
         // If exactly one order was sent and it was answered, none can arrive late.
         if (known.tries != 1 && !known.inherited)
         {
             known.outcome_known_at.reset();
         }
     }
-    for (const auto& [run, since] : former.late_starts)
+    for (const auto& [run, since] : former.unanswered_starts)
     {
-        if (now - since < settings.late_orders && !runs.contains(run))
+        if (now - since < settings.late_order_limit && !runs.contains(run))
         {
             runs[run].carried_over = runs[run].stopping = true;
         }
     }
-    late_starts = former.late_starts;
+    unanswered_starts = former.unanswered_starts;
     speed = former.speed; // a property of the machine, not of the incarnation
     // An order for the former incarnation has a lease end on a clock that was far ahead; the new one cuts it
     // to the longest lease.
-    if (!late_starts.empty())
+    if (!unanswered_starts.empty())
     {
-        foreign_lease_end += settings.late_orders;
+        earlier_leader_lease_end += settings.late_order_limit;
     }
 }
 
-bool worker_view::settles() const
+bool worker_view::has_unresolved_runs() const
 {
     return std::any_of(runs.begin(), runs.end(),
                        [](const auto& item)
@@ -101,19 +101,19 @@
                        });
 }
 
-bool worker_view::rules_out() const
+bool worker_view::has_pending_stops() const
 {
     return std::any_of(runs.begin(), runs.end(),
                        [](const auto& item)
                        {
                            return item.second.carried_over && item.second.stopping &&
-                                  !item.second.stop_settled;
+                                  !item.second.stop_outcome_known_at;
                        });
 }
 
-bool worker_view::has_open_start() const
+bool worker_view::has_unresolved_start() const
 {
-    return std::any_of(late_starts.begin(), late_starts.end(),
+    return std::any_of(unanswered_starts.begin(), unanswered_starts.end(),
                        [this](const auto& item)
                        {
                            const auto found = runs.find(item.first);
@@ -121,15 +121,15 @@
                        });
 }
 
-bool worker_view::lease_surely_over(monotonic_time now, double drift) const
+bool worker_view::lease_surely_expired(monotonic_time now, double drift) const
 {
-    if (now < foreign_lease_end && (!answered || !late_starts.empty()))
+    if (now < earlier_leader_lease_end && (!answered || !unanswered_starts.empty()))
     {
         return false;
     }
     if (!clock_known)
     {
-        return now >= foreign_lease_end;
+        return now >= earlier_leader_lease_end;
     }
     const double elapsed = static_cast<double>(to_ms(now - clock_at)) * (1.0 - drift);
     return static_cast<double>(clock_ms) + elapsed > static_cast<double>(granted_until_ms);
--- a/src/fabric/core_node.cpp
+++ b/src/fabric/core_node.cpp
@@ -53,7 +53,7 @@
       m_pass_timer(loop)
 {
     m_desk.set_clock(monotonic_now);
-    m_times.dispatch.lease_cap = m_settings.lease_cap;
+    m_times.dispatch.max_lease = m_settings.max_lease;
 }
 
 core_node::~core_node()
@@ -298,7 +298,7 @@
 
 dispatch_hooks core_node::make_hooks()
 {
-    const auto no_poll = look_answer{order_outcome::not_sent, {}, 0, {}, {}};
+    const auto no_poll = poll_answer{order_outcome::not_sent, {}, 0, {}, {}};
     const auto no_order = order_answer{order_outcome::not_sent, std::nullopt, false};
     dispatch_hooks hooks;
     hooks.now = monotonic_now;
@@ -311,10 +311,10 @@
                 });
     };
     // After a pause this process may have lost leadership, so each order checks it first.
-    hooks.look =
-        [this, no_poll](const look_order& order, const std::function<void(const look_answer&)>& handler)
+    hooks.poll =
+        [this, no_poll](const poll_order& order, const std::function<void(const poll_answer&)>& handler)
     {
-        leads(monotonic_now()) ? m_outside.look(order, handler) : handler(no_poll);
+        leads(monotonic_now()) ? m_outside.poll(order, handler) : handler(no_poll);
     };
     hooks.start = [this, no_order](const start_task_order& order,
                                    const std::function<void(const order_answer&)>& handler)
--- a/tests/src/advisor_stand_in.hpp
+++ b/tests/src/advisor_stand_in.hpp
@@ -24,11 +24,11 @@
     }
     [[nodiscard]] bool askers_free() const
     {
-        return m_questions.size() < m_settings.askers;
+        return m_questions.size() < m_settings.advisor_clients;
     }
     [[nodiscard]] bool askers_idle() const
     {
-        return 2 * (m_active_questions + m_questions.size()) < m_settings.askers;
+        return 2 * (m_active_questions + m_questions.size()) < m_settings.advisor_clients;
     }
 
   private:
@@ -42,7 +42,8 @@
     // Starts queued queries while advisor client processes are free.
     void ask_next()
     {
-        while (!m_questions.empty() && (m_settings.askers == 0 || m_active_questions < m_settings.askers))
+        while (!m_questions.empty() &&
+               (m_settings.advisor_clients == 0 || m_active_questions < m_settings.advisor_clients))
         {
             const waiting_question next = m_questions.front();
             m_questions.pop_front();
@@ -66,7 +67,7 @@
         {
             if (advisor_allows(asked.question.step, incarnation))
             {
-                const monotonic_time from = m_settings.tickets_from_question ? asked.since : m_now;
+                const monotonic_time from = m_settings.tickets_valid_from_question ? asked.since : m_now;
                 m_tickets[{asked.question.step, incarnation}] = from + milliseconds(1500);
                 answer.good.push_back({incarnation, "t"});
             }
--- a/tests/src/narrow_pool.hpp
+++ b/tests/src/narrow_pool.hpp
@@ -18,7 +18,7 @@
 {
   public:
     explicit narrow_pool(pool_settings settings)
-        : pool_stand_in(settings), m_connections(connection_pool_settings{settings.look_connections})
+        : pool_stand_in(settings), m_connections(connection_pool_settings{settings.poll_connections})
     {
         expire();
     }
@@ -28,9 +28,9 @@
     }
 
   protected:
-    using look_handler = std::function<void(const look_answer&)>;
+    using look_handler = std::function<void(const poll_answer&)>;
 
-    void carry_look(const look_order& order, const look_handler& handler) override
+    void carry_look(const poll_order& order, const look_handler& handler) override
     {
         const pooled_call call{++m_calls};
         m_waiting[call] = {order, handler};
@@ -49,7 +49,7 @@
         const auto [order, handler] = m_waiting.extract(grant.call).mapped();
         pool_stand_in::carry_look(
             order,
-            [this, handler = handler, connection = grant.connection](const look_answer& answer)
+            [this, handler = handler, connection = grant.connection](const poll_answer& answer)
             {
                 const bool open = answer.outcome != order_outcome::unanswered &&
                                   answer.outcome != order_outcome::unreachable;
@@ -78,7 +78,7 @@
     }
 
     connection_pool m_connections;
-    std::map<pooled_call, std::pair<look_order, look_handler>> m_waiting;
+    std::map<pooled_call, std::pair<poll_order, look_handler>> m_waiting;
     std::uint64_t m_calls = 0;
     std::size_t m_connections_opened = 0;
 };
--- a/tests/src/pool_stand_in.hpp
+++ b/tests/src/pool_stand_in.hpp
@@ -67,7 +67,7 @@
         ++m_term;
         dispatch_settings chosen;
         chosen.mechanisms = m_settings.mechanisms;
-        chosen.look_connections = m_settings.look_connections;
+        chosen.poll_connections = m_settings.poll_connections;
         m_leader = std::make_unique<dispatcher>(m_state, chosen, hooks(), *m_log, m_term, m_now);
         for (auto& [incarnation, worker] : m_workers)
         {
@@ -139,7 +139,8 @@
     void add_worker(const std::string& incarnation, const std::string& host, bool reports = true)
     {
         sim_worker& worker = m_workers[incarnation];
-        const bool slow = m_settings.slow_every > 0 && m_workers.size() % m_settings.slow_every == 0;
+        const bool slow =
+            m_settings.slow_worker_interval > 0 && m_workers.size() % m_settings.slow_worker_interval == 0;
         worker.slowness = slow ? 1.3 : 1.0;
         worker.description = {incarnation,     host,
                               host + ":1",     "pool",
@@ -282,7 +283,7 @@
         return true;
     }
     // Delivers a poll to its worker.
-    virtual void carry_look(const look_order& order, const std::function<void(const look_answer&)>& handler)
+    virtual void carry_look(const poll_order& order, const std::function<void(const poll_answer&)>& handler)
     {
         at(m_settings.network_delay,
            [this, order, handler]
@@ -456,7 +457,7 @@
                    handler(leads);
                });
         };
-        out.look = [this](const look_order& order, const std::function<void(const look_answer&)>& handler)
+        out.poll = [this](const poll_order& order, const std::function<void(const poll_answer&)>& handler)
         {
             carry_look(order, handler);
         };
@@ -498,7 +499,7 @@
         {
             take_question(question, urgent, handler);
         };
-        if (m_settings.askers > 0)
+        if (m_settings.advisor_clients > 0)
         {
             out.advisors_free = [this]
             {
--- a/tests/src/standstill_check.hpp
+++ b/tests/src/standstill_check.hpp
@@ -255,7 +255,7 @@
         const worker_faults& wrong = worker.faults;
         const double chance = wrong.late + wrong.late_stops + wrong.poll_loss + wrong.refuse + wrong.unsent;
         return !worker.terminated && !worker.draining && !wrong.unresponsive && !wrong.polls_not_sent &&
-               !wrong.rejects_looks && !wrong.reports_lost && !wrong.fails_all && !wrong.stands_still &&
+               !wrong.rejects_polls && !wrong.reports_lost && !wrong.fails_all && !wrong.runs_hang &&
                !wrong.resets && chance == 0.0;
     }
     template <class Worker>
--- a/tests/src/troubled_pool.hpp
+++ b/tests/src/troubled_pool.hpp
@@ -71,7 +71,7 @@
     {
         dispatch_hooks out = narrow_pool::hooks();
         delay_answers<bool>(out.propose);
-        delay_answers<const look_answer&>(out.look);
+        delay_answers<const poll_answer&>(out.poll);
         delay_answers<const order_answer&>(out.start);
         delay_answers<const order_answer&>(out.stop);
         delay_answers<const order_answer&>(out.pace);
--- a/tests/src/unit-crash-ledger.cpp
+++ b/tests/src/unit-crash-ledger.cpp
@@ -149,7 +149,7 @@
 // work caused: no other submission may start on its host.
 BOOST_FIXTURE_TEST_CASE(a_host_on_which_a_task_runs_that_was_lost_three_times_is_watched, fixture)
 {
-    suspect_watch watch(state.crashes(), milliseconds(700));
+    suspect_isolation watch(state.crashes(), milliseconds(700));
     const submission_id other{2};
     for (int loss = 1; loss <= 3; ++loss)
     {
@@ -157,13 +157,13 @@
         admit();
         state.apply(noon, record_starts{{planned_start{task(), ++runs, present()}}});
         watch.find_isolated(state);
-        BOOST_TEST(watch.watches(present(), other, monotonic_time{}) == (loss == 3));
-        BOOST_TEST(!watch.watches(present(), task().step.submission, monotonic_time{}));
+        BOOST_TEST(watch.has_foreign_suspect(present(), other, monotonic_time{}) == (loss == 3));
+        BOOST_TEST(!watch.has_foreign_suspect(present(), task().step.submission, monotonic_time{}));
         const observed_end stopped{run_ref{task(), runs}, static_cast<std::uint8_t>(run_end::stopped), {}};
         state.apply(noon, record_ends{present(), static_cast<std::uint64_t>(loss), {stopped}});
     }
     watch.find_isolated(state);
-    BOOST_TEST(!watch.watches(present(), other, monotonic_time{}));
+    BOOST_TEST(!watch.has_foreign_suspect(present(), other, monotonic_time{}));
 }
 
 BOOST_FIXTURE_TEST_CASE(last_known_runs_of_an_unresponsive_worker_are_in_the_snapshot, fixture)
--- a/tests/src/unit-decoding.cpp
+++ b/tests/src/unit-decoding.cpp
@@ -136,8 +136,8 @@
                 ++read;
                 check_report(value_of(report));
             }
-            const auto look = decode_look(mutate(good_poll_answer, random));
-            for (const listed_end& end : ok(look) ? value_of(look).ended : std::vector<listed_end>{})
+            const auto poll = decode_look(mutate(good_poll_answer, random));
+            for (const reported_end& end : ok(poll) ? value_of(poll).ended : std::vector<reported_end>{})
             {
                 BOOST_REQUIRE_LE(static_cast<int>(end.how), static_cast<int>(run_end::lonely));
             }
@@ -184,9 +184,9 @@
          {json("1790095670000"), json(1.5), json(-1), json(UINT64_MAX), json(1e300), json(nullptr)})
     {
         BOOST_TEST(refused("born", odd));
-        json look = good_poll_answer;
-        look["born"] = odd;
-        BOOST_TEST(!ok(decode_look(look.dump())));
+        json poll = good_poll_answer;
+        poll["born"] = odd;
+        BOOST_TEST(!ok(decode_look(poll.dump())));
     }
     BOOST_TEST(refused("zone", std::string(100'000, 'x')));
     for (const char* key : {"service", "address", "zone", "state", "room"})
--- a/tests/src/unit-dispatch.cpp
+++ b/tests/src/unit-dispatch.cpp
@@ -245,7 +245,7 @@
 BOOST_AUTO_TEST_CASE(a_run_that_stands_still_is_started_elsewhere)
 {
     pool_stand_in pool(small_pool_settings(4));
-    pool.faults("w0").stands_still = true;
+    pool.faults("w0").runs_hang = true;
     pool.start_leader();
     pool.run(seconds(1));
     std::vector<submission_id> all;
--- a/tests/src/unit-fleet-connections.cpp
+++ b/tests/src/unit-fleet-connections.cpp
@@ -17,7 +17,7 @@
 pool_settings crowded()
 {
     pool_settings settings = small_pool_settings(300);
-    settings.look_connections = 116;
+    settings.poll_connections = 116;
     return settings;
 }
 
--- a/tests/src/unit-gangs.cpp
+++ b/tests/src/unit-gangs.cpp
@@ -29,11 +29,11 @@
 
 BOOST_AUTO_TEST_CASE(an_outlook_follows_from_slack_and_objective)
 {
-    const outlook_bounds bounds;
-    BOOST_TEST((judge_outlook(500, 1000, bounds) == outlook::on_time));
-    BOOST_TEST((judge_outlook(0, 1000, bounds) == outlook::doubtful));
-    BOOST_TEST((judge_outlook(-300, 1000, bounds) == outlook::late));
-    BOOST_TEST((judge_outlook(-2500, 1000, bounds) == outlook::worthless));
+    const timeliness_thresholds bounds;
+    BOOST_TEST((classify_timeliness(500, 1000, bounds) == timeliness::on_time));
+    BOOST_TEST((classify_timeliness(0, 1000, bounds) == timeliness::at_risk));
+    BOOST_TEST((classify_timeliness(-300, 1000, bounds) == timeliness::late));
+    BOOST_TEST((classify_timeliness(-2500, 1000, bounds) == timeliness::expired));
 }
 
 // A third of the cores was idle on hosts held whole for gangs.
@@ -158,7 +158,7 @@
 BOOST_AUTO_TEST_CASE(urgent_tasks_run_on_fast_hosts)
 {
     pool_settings settings = with_workers(24, 0.8);
-    settings.slow_every = 3;
+    settings.slow_worker_interval = 3;
     pool_stand_in pool(settings);
     pool.start_leader();
     pool.run(seconds(2));
@@ -195,7 +195,7 @@
     {
         pool_settings settings = with_workers(24, 0.6);
         settings.question = milliseconds(700);
-        settings.tickets_from_question = from_question;
+        settings.tickets_valid_from_question = from_question;
         pool_stand_in pool(settings);
         pool.start_leader();
         pool.run(seconds(2));
--- a/tests/src/unit-gathering.cpp
+++ b/tests/src/unit-gathering.cpp
@@ -10,11 +10,11 @@
 constexpr resources gang{180'000, 660'000, 0, 0}; // 20 tasks of 9 cores and 33 GB
 
 // Number of such gangs that gather at a time in a pool of that many hosts with 32 cores and 128 GB.
-std::size_t gathering_on(std::int64_t hosts)
+std::size_t count_gathering_gangs(std::int64_t hosts)
 {
     const resources pool = resources{32'000, 131'072, 0, 0} * hosts;
-    gathering_work others;
-    while (may_join_gathering(others, gang, pool, {}))
+    gathering_demand others;
+    while (may_start_gathering(others, gang, pool, {}))
     {
         ++others.gangs;
         others.wanted += gang;
@@ -28,19 +28,19 @@
 // there.
 BOOST_AUTO_TEST_CASE(more_gangs_gather_on_a_larger_pool)
 {
-    BOOST_TEST(gathering_on(48) == 2);
-    BOOST_TEST(gathering_on(350) == 6);
-    BOOST_TEST(gathering_on(1100) == 19);
+    BOOST_TEST(count_gathering_gangs(48) == 2);
+    BOOST_TEST(count_gathering_gangs(350) == 6);
+    BOOST_TEST(count_gathering_gangs(1100) == 19);
 }
 
 BOOST_AUTO_TEST_CASE(the_scarcer_of_processors_and_memory_counts)
 {
     const resources pool{11'200'000, 6'600'000, 0, 0};
-    gathering_work others{2, gang + gang};
-    BOOST_TEST(!may_join_gathering(others, gang, pool, {}));
+    gathering_demand others{2, gang + gang};
+    BOOST_TEST(!may_start_gathering(others, gang, pool, {}));
 }
 
-BOOST_AUTO_TEST_CASE(few_gather_where_nothing_is_known_of_the_pool)
+BOOST_AUTO_TEST_CASE(the_minimum_number_of_gangs_may_gather_in_an_unknown_pool)
 {
-    BOOST_TEST(may_join_gathering({1, gang}, gang, {}, {2, 0.0}));
+    BOOST_TEST(may_start_gathering({1, gang}, gang, {}, {2, 0.0}));
 }
--- a/tests/src/unit-lost-workers.cpp
+++ b/tests/src/unit-lost-workers.cpp
@@ -121,7 +121,7 @@
     pool.run(seconds(1));
     const submission_id id = pool.submit("plain", {make_step(16, 4000, 3000)});
     pool.run(milliseconds(500));
-    pool.faults(workers_with_runs(pool, 8).front()).rejects_looks = true;
+    pool.faults(workers_with_runs(pool, 8).front()).rejects_polls = true;
     pool.run(given_up_by + run_time);
     BOOST_TEST((pool.phase(id) == submission_phase::completed));
     check_unbroken(pool);
--- a/tests/src/unit-never-back.cpp
+++ b/tests/src/unit-never-back.cpp
@@ -85,7 +85,7 @@
         pool_settings out = small_pool_settings(workers);
         out.seed = seed;
         out.good_share = 0.85; // so that enough hosts are approved for each gang
-        out.look_connections = limited_connections ? few_connections : SIZE_MAX;
+        out.poll_connections = limited_connections ? few_connections : SIZE_MAX;
         return out;
     }
     // Idle workers are polled rarely and may be isolated unnoticed, so a task of a lost worker may be sent to
--- a/tests/src/unit-platform.cpp
+++ b/tests/src/unit-platform.cpp
@@ -47,7 +47,7 @@
     BOOST_TEST(out.settings.fabric.peer_address == "10.1.0.16:7720");
     BOOST_TEST(out.settings.fabric.seeds.back() == "10.2.0.33:7720");
     BOOST_TEST(out.settings.fabric.losses_borne == 2U);
-    BOOST_TEST(out.settings.fabric.lease_cap.count() == 10000);
+    BOOST_TEST(out.settings.fabric.max_lease.count() == 10000);
     BOOST_TEST(out.settings.operator_address == "10.1.0.16:8166");
     BOOST_TEST(out.settings.caller_address.empty());
 }
@@ -108,13 +108,13 @@
 // Every proper prefix of a valid body must be an error; the whole body must decode.
 BOOST_AUTO_TEST_CASE(cut_bodies_are_errors)
 {
-    const std::string look =
+    const std::string poll =
         R"({"clock-ms":482113,"running":[["5c0e7a21d94b36f8.0.1.17",2,"00",41,7]],"finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""]]})";
-    for (std::size_t length = 0; length < look.size(); ++length)
+    for (std::size_t length = 0; length < poll.size(); ++length)
     {
-        BOOST_TEST(decode_look(look.substr(0, length)).index() == 1U);
+        BOOST_TEST(decode_look(poll.substr(0, length)).index() == 1U);
     }
-    auto whole = decode_look(look);
+    auto whole = decode_look(poll);
     BOOST_REQUIRE(whole.index() == 0U);
     BOOST_TEST(std::get<0>(whole).running.front().percent == 41);
     BOOST_TEST(std::get<0>(whole).running.front().figure == 7);
@@ -127,10 +127,11 @@
     BOOST_TEST((decode_order_answer(200, "{\"clock-ms\":5}").outcome == order_outcome::accepted));
     BOOST_TEST(decode_order_answer(200, "{\"clock-ms\":5}").clock_ms.value() == 5);
     BOOST_TEST((decode_order_answer(409, "{\"reason\":\"fence\"}").outcome == order_outcome::fenced));
-    BOOST_TEST((decode_order_answer(409, "{\"reason\":\"old\"}").outcome == order_outcome::outdated));
+    BOOST_TEST((decode_order_answer(409, "{\"reason\":\"old\"}").outcome == order_outcome::superseded));
     BOOST_TEST((decode_order_answer(409, "{\"reason\":\"late\"}").outcome == order_outcome::late));
-    BOOST_TEST((decode_order_answer(409, "{\"reason\":\"ticket\"}").outcome == order_outcome::bad_ticket));
-    BOOST_TEST((decode_order_answer(421, "").outcome == order_outcome::other_life));
+    BOOST_TEST(
+        (decode_order_answer(409, "{\"reason\":\"ticket\"}").outcome == order_outcome::ticket_rejected));
+    BOOST_TEST((decode_order_answer(421, "").outcome == order_outcome::wrong_incarnation));
     BOOST_TEST((decode_order_answer(503, "").outcome == order_outcome::unhealthy));
     BOOST_TEST((decode_order_answer(400, "").outcome == order_outcome::rejected));
     BOOST_TEST((decode_order_answer(502, "junk").outcome == order_outcome::unanswered));
--- a/tests/src/unit-reservations.cpp
+++ b/tests/src/unit-reservations.cpp
@@ -22,7 +22,7 @@
 }
 
 // Time in milliseconds that a task which needs a whole host takes in a pool that small tasks keep full.
-std::int64_t time_of_large_task(std::uint64_t seed, bool reservations)
+std::int64_t large_task_duration(std::uint64_t seed, bool reservations)
 {
     pool_settings settings;
     settings.workers = hosts;
@@ -58,15 +58,15 @@
 }
 } // namespace
 
-BOOST_AUTO_TEST_CASE(room_comes_when_enough_runs_have_ended)
+BOOST_AUTO_TEST_CASE(capacity_is_forecast_from_the_ends_of_runs)
 {
     const resources need{4000, 100, 0, 0};
     const resources one{2000, 100, 0, 0};
     const resources open{1000, 1000, 0, 0};
-    BOOST_TEST(time_until_room({4000, 100, 0, 0}, {}, need).value() == 0.0);
-    BOOST_TEST(time_until_room(open, {{one, 900.0}, {one, 300.0}, {one, 600.0}}, need).value() == 600.0);
-    BOOST_TEST(!time_until_room(open, {{one, std::nullopt}, {one, 300.0}}, need).has_value());
-    BOOST_TEST(!time_until_room(open, {}, need).has_value());
+    BOOST_TEST(time_until_fit({4000, 100, 0, 0}, {}, need).value() == 0.0);
+    BOOST_TEST(time_until_fit(open, {{one, 900.0}, {one, 300.0}, {one, 600.0}}, need).value() == 600.0);
+    BOOST_TEST(!time_until_fit(open, {{one, std::nullopt}, {one, 300.0}}, need).has_value());
+    BOOST_TEST(!time_until_fit(open, {}, need).has_value());
 }
 
 // Tasks that need all accelerators of a host waited up to 54 s, as small tasks took all capacity that was
@@ -77,14 +77,14 @@
     {
         BOOST_TEST_CONTEXT("seed " << seed)
         {
-            BOOST_TEST(time_of_large_task(seed, true) < 4000);
-            BOOST_TEST(time_of_large_task(seed, false) > 8000);
+            BOOST_TEST(large_task_duration(seed, true) < 4000);
+            BOOST_TEST(large_task_duration(seed, false) > 8000);
         }
     }
 }
 
 // Hosts are held for only a few large tasks at a time, so small ones continue to run.
-BOOST_AUTO_TEST_CASE(many_large_tasks_leave_room_for_small_ones)
+BOOST_AUTO_TEST_CASE(many_large_tasks_leave_capacity_for_small_ones)
 {
     pool_settings settings;
     settings.workers = 12;
--- a/tests/src/unit-restarts.cpp
+++ b/tests/src/unit-restarts.cpp
@@ -235,7 +235,7 @@
         pool.start_leader();
         pool.run(settle_time);
         pool.faults("w0").late = 0.7;
-        pool.faults("w0").late_outlives = true;
+        pool.faults("w0").late_starts_reach_next_incarnation = true;
         const auto all = submit_many(pool, 8, 6000);
         pool.run(milliseconds(100 + 40 * seed));
         pool.restart("w0", milliseconds(200), seed % 2 == 0);
--- a/tests/src/unit-rooms.cpp
+++ b/tests/src/unit-rooms.cpp
@@ -14,9 +14,9 @@
 namespace
 {
 // Hosts of two pools as seen by a leader.
-struct table_fixture
+struct host_table_fixture
 {
-    table_fixture()
+    host_table_fixture()
     {
         for (std::uint32_t i = 0; i < 6; ++i)
         {
@@ -46,7 +46,7 @@
 };
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(room_that_is_held_is_open_but_not_free, table_fixture)
+BOOST_FIXTURE_TEST_CASE(held_capacity_is_open_but_not_free, host_table_fixture)
 {
     table.hold(id(1), {4000, 1000, 0, 0});
     table.hold(id(1), {4000, 1000, 0, 0});
@@ -58,7 +58,7 @@
     BOOST_TEST(table.find(id(1))->free.cpu == 16000);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_planned_start_shows_once_its_host_is_touched_and_in_the_next_pass, table_fixture)
+BOOST_FIXTURE_TEST_CASE(a_planned_start_counts_after_invalidation_and_in_the_next_pass, host_table_fixture)
 {
     BOOST_TEST(table.find(id(2))->free.cpu == 16000);
     views[id(2)].planned += {3000, 0, 0, 0};
@@ -69,7 +69,7 @@
     BOOST_TEST(table.find(id(3))->free.cpu == 13000);
 }
 
-BOOST_FIXTURE_TEST_CASE(only_hosts_that_answer_and_stay_are_usable, table_fixture)
+BOOST_FIXTURE_TEST_CASE(only_hosts_that_answer_and_stay_are_usable, host_table_fixture)
 {
     BOOST_TEST(table.usable_in(table.number_of("a")) == 4U);
     BOOST_TEST(table.usable_in(table.number_of("b")) == 2U);
@@ -81,7 +81,7 @@
     BOOST_TEST(table.usable_in(table.number_of("a")) == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(hosts_that_come_or_go_are_there_in_the_next_pass, table_fixture)
+BOOST_FIXTURE_TEST_CASE(the_next_pass_sees_added_and_removed_hosts, host_table_fixture)
 {
     const worker_incarnation_id gone = id(0);
     state.apply(0, drop_worker{gone, true});
@@ -93,9 +93,9 @@
     BOOST_TEST(table.usable_in(table.number_of("b")) == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(news_name_each_host_once_or_say_that_some_are_forgotten)
+BOOST_AUTO_TEST_CASE(the_log_lists_each_host_once_or_reports_discarded_entries)
 {
-    room_news freed(10);
+    freed_capacity_log freed(10);
     const std::uint64_t begin = freed.position();
     for (const std::uint32_t host : {3U, 1U, 3U})
     {
@@ -113,7 +113,7 @@
 }
 
 // Waiting work examines only hosts on which capacity was freed; it must still start as soon as it fits.
-BOOST_AUTO_TEST_CASE(work_that_waits_starts_when_room_comes_free)
+BOOST_AUTO_TEST_CASE(waiting_work_starts_when_capacity_is_freed)
 {
     for (std::uint64_t seed = 1; seed <= seed_count(30); ++seed)
     {
--- a/tests/src/unit-standstill.cpp
+++ b/tests/src/unit-standstill.cpp
@@ -154,7 +154,7 @@
     settings.good_share = good_share;
     settings.seed = seed;
     settings.question = milliseconds(300);
-    settings.askers = 6;
+    settings.advisor_clients = 6;
     return settings;
 }
 
@@ -232,7 +232,7 @@
     for (std::uint64_t seed = 1; seed <= 4; ++seed)
     {
         pool_settings settings = few_good_hosts(workers, 0.25, seed);
-        settings.askers = 0;
+        settings.advisor_clients = 0;
         watched_pool pool(settings);
         std::mt19937_64 random(seed);
         pool.start_leader();
--- a/tests/src/unit-waits.cpp
+++ b/tests/src/unit-waits.cpp
@@ -22,7 +22,7 @@
     }
 
   protected:
-    void carry_look(const look_order& order, const std::function<void(const look_answer&)>& handler) override
+    void carry_look(const poll_order& order, const std::function<void(const poll_answer&)>& handler) override
     {
         if (order.to.id != m_life)
         {
@@ -70,7 +70,7 @@
 BOOST_AUTO_TEST_CASE(a_worker_that_refuses_every_look_is_given_up)
 {
     for (const order_outcome outcome : {order_outcome::unhealthy, order_outcome::rejected,
-                                        order_outcome::no_room, order_outcome::bad_ticket})
+                                        order_outcome::no_room, order_outcome::ticket_rejected})
     {
         BOOST_TEST_CONTEXT("outcome " << static_cast<int>(outcome))
         {
--- a/tests/src/worker_records.hpp
+++ b/tests/src/worker_records.hpp
@@ -158,10 +158,10 @@
         std::int64_t lease_until = 0;
         std::map<run_ref, sim_run> running;
         std::map<task_ref, std::uint32_t> highest; // highest run number that was stopped or ended there
-        std::vector<listed_end> ended;
+        std::vector<reported_end> ended;
         std::map<std::uint64_t, monotonic_time> ended_at;
         monotonic_time lapsed_at{};
-        std::function<void(const look_answer&)> waiting_look;
+        std::function<void(const poll_answer&)> waiting_look;
         std::uint64_t look_number = 0;
         std::size_t starts = 0;
         std::optional<monotonic_time> leaving_acknowledged;
--- a/tests/src/worker_stand_in.hpp
+++ b/tests/src/worker_stand_in.hpp
@@ -57,7 +57,7 @@
         // address.
         const bool connected = !refused && m_connected.contains({to.id, to.fence});
         m_connected.erase({to.id, to.fence});
-        const order_outcome outcome = other       ? order_outcome::other_life
+        const order_outcome outcome = other       ? order_outcome::wrong_incarnation
                                       : connected ? order_outcome::unanswered
                                                   : order_outcome::unreachable;
         at(other || refused ? duration(m_settings.network_delay)
@@ -101,7 +101,7 @@
                });
             at(milliseconds(2000 + static_cast<int>(random_fraction() * 10000)),
                [this, order, process_start = worker->description.process_start,
-                outlives = worker->faults.late_outlives]
+                outlives = worker->faults.late_starts_reach_next_incarnation]
                {
                    const sim_worker* there = find(order.to.id);
                    if (there != nullptr && (outlives || there->description.process_start == process_start))
@@ -143,7 +143,7 @@
         const auto highest = worker.highest.find(order.run.task);
         if (highest != worker.highest.end() && order.run.run <= highest->second)
         {
-            return order_outcome::outdated;
+            return order_outcome::superseded;
         }
         if (order.until_ms < clock_of(worker))
         {
@@ -163,7 +163,7 @@
         const auto ticket = m_tickets.find({order.run.task.step, order.to.id});
         if (queue->advised && (ticket == m_tickets.end() || ticket->second < m_now))
         {
-            return order_outcome::bad_ticket;
+            return order_outcome::ticket_rejected;
         }
         const bool leaves =
             worker.leaving_acknowledged && m_now - *worker.leaving_acknowledged > leaving_bound;
@@ -190,7 +190,7 @@
         made.began = m_now;
         made.fails = worker.faults.fails_all || always_fails.contains(owner.id);
         made.length_ms = made.fails ? 100 : step.estimate_ms;
-        const bool ends = !worker.faults.stands_still && !step.long_running;
+        const bool ends = !worker.faults.runs_hang && !step.long_running;
         if (ends && !step.gang)
         {
             const double length = static_cast<double>(made.length_ms) * worker.slowness;
@@ -387,7 +387,7 @@
         answer_later(handler, {order_outcome::accepted, clock_of(*worker), false});
     }
 
-    void handle_poll(const look_order& order, const std::function<void(const look_answer&)>& handler)
+    void handle_poll(const poll_order& order, const std::function<void(const poll_answer&)>& handler)
     {
         sim_worker* worker = find(order.to.id);
         if (worker != nullptr && worker->faults.polls_not_sent)
@@ -423,7 +423,7 @@
                });
             return;
         }
-        if (worker->faults.rejects_looks)
+        if (worker->faults.rejects_polls)
         {
             at(m_settings.network_delay,
                [handler]
@@ -441,7 +441,7 @@
         const std::uint64_t last_seen = meant ? order.last_seen : 0;
         extend_lease(*worker, meant ? order.until_ms.value_or(0) : 0);
         std::erase_if(worker->ended,
-                      [this, last_seen, worker](const listed_end& item)
+                      [this, last_seen, worker](const reported_end& item)
                       {
                           if (item.number <= last_seen)
                           {
@@ -466,7 +466,7 @@
            });
     }
     // An end counts once the leader has acknowledged it, unless the lease has expired since.
-    void take_note(const sim_worker& worker, const listed_end& item)
+    void take_note(const sim_worker& worker, const reported_end& item)
     {
         if (item.how != run_end::completed || !m_completed_tasks.contains(item.run.task) ||
             worker.lapsed_at > worker.ended_at.at(item.number))
@@ -505,14 +505,14 @@
         {
             return;
         }
-        look_answer answer;
+        poll_answer answer;
         answer.outcome = order_outcome::accepted;
         answer.process_start = worker.description.process_start;
         answer.clock_ms = clock_of(worker);
         answer.ended = worker.ended;
         for (const auto& [run, state] : worker.running)
         {
-            const double part = state.length_ms > 0 && !worker.faults.stands_still
+            const double part = state.length_ms > 0 && !worker.faults.runs_hang
                                     ? static_cast<double>((m_now - state.began).count()) /
                                           (1000.0 * static_cast<double>(state.length_ms))
                                     : 0.0;
