--- a/include/walkthread/dispatch/dispatcher.hpp
+++ b/include/walkthread/dispatch/dispatcher.hpp
@@ -66,7 +66,7 @@
     void handle_report(const worker_report& report, monotonic_time now,
                        const std::function<void(bool)>& done);
     /// @brief Handles a worker's notice that it is shutting down now.
-    void take_leave(const std::string& id, const std::function<void(bool)>& done);
+    void handle_leave(const std::string& id, const std::function<void(bool)>& done);
     /// @brief Runs one scheduling pass: urgent and long-running steps each time, the others once per
     /// `dispatch_settings::full_pass_interval`. Complexity: at most the steps considered times the workers.
     void pass(monotonic_time now, wall_ms wall);
@@ -76,7 +76,7 @@
     /// @brief Calls `then` once all run ends that workers listed for this submission are committed, so that a
     /// read that arrives after an end reflects it. Calls it at once if there are none to commit, and when the
     /// term ends.
-    void after_recording(submission_id id, std::function<void()> then);
+    void after_ends_committed(submission_id id, std::function<void()> then);
 
     /// @brief The number of submissions of a queue none of whose tasks is known to have started on a worker.
     /// Complexity: linear in the submissions whose first start orders are not confirmed.
@@ -88,9 +88,9 @@
     }
     /// @brief The number of runs recorded as running on workers that have not answered for longer than a
     /// lease; updated about once a second.
-    [[nodiscard]] std::size_t unheard_runs() const
+    [[nodiscard]] std::size_t runs_on_unresponsive_workers() const
     {
-        return m_unheard_runs;
+        return m_runs_on_unresponsive_workers;
     }
     [[nodiscard]] const std::map<worker_incarnation_id, worker_view>& views() const
     {
@@ -104,7 +104,7 @@
     // dispatcher.cpp: the scheduling pass and the order of the candidates
     void sync_views(monotonic_time now);
     [[nodiscard]] worker_view make_view(const worker_incarnation& worker, monotonic_time now);
-    void tidy(monotonic_time now, wall_ms wall);
+    void run_periodic_work(monotonic_time now, wall_ms wall);
     [[nodiscard]] candidate make_candidate(const step_ref& ref) const;
     [[nodiscard]] std::vector<candidate> order_candidates(wall_ms wall, bool all);
     [[nodiscard]] bool evaluate_candidate(candidate& item, wall_ms wall) const;
@@ -113,90 +113,92 @@
     {
         return m_settings.mechanisms.on(which);
     }
-    void forget_old(wall_ms wall);
-    void note_waiting(monotonic_time now, wall_ms wall);
-    void note_waiting_step(const step_ref& ref, const submission& owner, wall_ms waited_ms,
-                           monotonic_time now);
+    void expire_submissions(wall_ms wall);
+    void log_waiting(monotonic_time now, wall_ms wall);
+    void log_waiting_step(const step_ref& ref, const submission& owner, wall_ms waited_ms,
+                          monotonic_time now);
     void log_unresponsive_worker(monotonic_time now);
-    void find_doubted_racks();
-    void note_waiting_gang(monotonic_time now, wall_ms wall);
-    void stop_unwanted(monotonic_time now);
+    void find_suspected_racks();
+    void log_waiting_gang(monotonic_time now, wall_ms wall);
+    void stop_unwanted_runs(monotonic_time now);
     void propose_starts(const candidate& item, const std::vector<planned_start>& starts,
                         const std::vector<std::string>& tickets, monotonic_time now);
     void log_event(monotonic_time now, std::string_view event, std::string_view subject,
                    std::initializer_list<log_field> fields);
 
     // dispatcher_reports.cpp: worker reports and the admission of incarnations
-    [[nodiscard]] bool names_known_pool(const worker_report& report) const;
-    [[nodiscard]] bool lacks_birth(const worker_report& report) const;
-    void take_known_report(worker_view& view, const worker_report& report, monotonic_time now);
+    [[nodiscard]] bool has_known_pool(const worker_report& report) const;
+    [[nodiscard]] bool lacks_start_time(const worker_report& report) const;
+    void handle_known_report(worker_view& view, const worker_report& report, monotonic_time now);
     void record_leaving(const worker_incarnation& known, const worker_report& report,
                         const std::function<void(bool)>& done);
-    void ask_who_lives_there(const worker_report& report, worker_incarnation_id present,
-                             const std::function<void(bool)>& done);
+    void verify_incarnation(const worker_report& report, worker_incarnation_id present,
+                            const std::function<void(bool)>& done);
     void admit(const worker_report& report, const poll_answer& answer, const std::function<void(bool)>& done);
 
     // dispatcher_place.cpp: choice of workers
     [[nodiscard]] std::uint32_t permitted_tasks(const candidate& item) const;
     bool place(const candidate& item, monotonic_time now);
-    bool place_each(const candidate& item, monotonic_time now);
-    void learn_usual_speed();
+    bool place_individually(const candidate& item, monotonic_time now);
+    void update_typical_speed();
     [[nodiscard]] bool is_eligible(const candidate& item, const host_row& row) const;
     [[nodiscard]] std::string_view ticket_for(const candidate& item, worker_incarnation_id worker,
                                               monotonic_time now);
-    [[nodiscard]] resources room_for(const candidate& item, const host_row& row, monotonic_time now) const;
+    [[nodiscard]] resources available_resources(const candidate& item, const host_row& row,
+                                                monotonic_time now) const;
     [[nodiscard]] std::uint32_t slots(const candidate& item, worker_incarnation_id worker,
                                       const resources& room) const;
     [[nodiscard]] std::uint32_t waiting_tasks(const candidate& item) const;
     [[nodiscard]] bool has_waiting_tasks(const candidate& item) const;
-    [[nodiscard]] bool looked_at_lately(const candidate& item, monotonic_time now) const;
-    [[nodiscard]] std::vector<offer> find_new_offers(const candidate& item, monotonic_time now);
-    void plan_each(const candidate& item, std::vector<offer>& offers, std::vector<planned_start>& starts,
-                   std::vector<std::string>& tickets, std::uint32_t& left) const;
-    bool plan_suspects(const candidate& item, std::vector<offer>& offers, std::vector<planned_start>& starts,
-                       std::vector<std::string>& tickets, std::uint32_t& left, monotonic_time now) const;
-    [[nodiscard]] std::tuple<int, bool, std::size_t> cost_of_suspect(const candidate& item, const offer& o,
-                                                                     monotonic_time now) const;
-    [[nodiscard]] std::vector<offer> find_offers_to_ask(const candidate& item, std::uint32_t need,
-                                                        monotonic_time now);
+    [[nodiscard]] bool recently_scanned(const candidate& item, monotonic_time now) const;
+    [[nodiscard]] std::vector<offer> find_offers_on_freed_hosts(const candidate& item, monotonic_time now);
+    void plan_tasks(const candidate& item, std::vector<offer>& offers, std::vector<planned_start>& starts,
+                    std::vector<std::string>& tickets, std::uint32_t& left) const;
+    bool plan_crash_suspects(const candidate& item, std::vector<offer>& offers,
+                             std::vector<planned_start>& starts, std::vector<std::string>& tickets,
+                             std::uint32_t& left, monotonic_time now) const;
+    [[nodiscard]] std::tuple<int, bool, std::size_t> crash_suspect_cost(const candidate& item, const offer& o,
+                                                                        monotonic_time now) const;
+    [[nodiscard]] std::vector<offer> find_offers_to_query(const candidate& item, std::uint32_t need,
+                                                          monotonic_time now);
     [[nodiscard]] std::map<worker_incarnation_id, std::uint32_t> placed_tasks(const candidate& item) const;
-    [[nodiscard]] std::set<worker_incarnation_id> failed_before(const candidate& item);
-    [[nodiscard]] int doubt_about(const candidate& item, const host_row& row, monotonic_time now) const;
+    [[nodiscard]] std::set<worker_incarnation_id> workers_with_failures(const candidate& item);
+    [[nodiscard]] int suspicion_penalty(const candidate& item, const host_row& row, monotonic_time now) const;
     [[nodiscard]] offer make_offer(const candidate& item, const host_row& row, monotonic_time now);
     [[nodiscard]] std::vector<offer> find_offers(const candidate& item, monotonic_time now);
-    [[nodiscard]] std::vector<offer> find_good_offers(const candidate& item, monotonic_time now);
-    [[nodiscard]] std::vector<offer> find_open_offers(const candidate& item, monotonic_time now);
-    [[nodiscard]] bool surely_good(const candidate& item, worker_incarnation_id worker);
-    [[nodiscard]] bool keeps_large_slots(const resources& room, const resources& need) const;
+    [[nodiscard]] std::vector<offer> find_approved_offers(const candidate& item, monotonic_time now);
+    [[nodiscard]] std::vector<offer> find_startable_offers(const candidate& item, monotonic_time now);
+    [[nodiscard]] bool is_approved(const candidate& item, worker_incarnation_id worker);
+    [[nodiscard]] bool preserves_large_slots(const resources& room, const resources& need) const;
 
     // dispatcher_gangs.cpp: steps whose tasks all start together
     bool place_gang(const candidate& item, monotonic_time now);
-    [[nodiscard]] bool has_lost_tasks(const candidate& item) const;
-    [[nodiscard]] bool has_suspect_at_rest(const candidate& item, monotonic_time now) const;
+    [[nodiscard]] bool has_crash_suspects(const candidate& item) const;
+    [[nodiscard]] bool has_suspect_in_backoff(const candidate& item, monotonic_time now) const;
     [[nodiscard]] bool start_gang(const candidate& item, monotonic_time now);
-    void start_gang_on(const candidate& item, std::vector<offer> offers, monotonic_time now);
-    void learn_large_task(const candidate& item);
-    [[nodiscard]] static bool spares_accelerators(const candidate& item, const offer& o);
-    void hold_room(const candidate& item, monotonic_time now);
+    void plan_gang_start(const candidate& item, std::vector<offer> offers, monotonic_time now);
+    void update_large_task_size(const candidate& item);
+    [[nodiscard]] static bool preserves_accelerators(const candidate& item, const offer& o);
+    void hold_resources(const candidate& item, monotonic_time now);
     [[nodiscard]] bool may_gather(const candidate& item) const;
     [[nodiscard]] std::uint32_t held_tasks(const step_ref& ref) const;
     void set_hold(const step_ref& ref, capacity_hold next);
     void drop_hold(const step_ref& ref);
-    void review_holds(monotonic_time now);
-    bool learn_hosts(const candidate& item, monotonic_time now);
-    void ask_for_gang(const candidate& item, monotonic_time now);
+    void expire_holds(monotonic_time now);
+    bool query_more_hosts(const candidate& item, monotonic_time now);
+    void query_advisor_for_gang(const candidate& item, monotonic_time now);
     [[nodiscard]] std::vector<worker_incarnation_id>
     hosts_without_ticket(const candidate& item, const capacity_hold& hold, monotonic_time now);
-    [[nodiscard]] milliseconds question_time(const candidate& item, const capacity_hold& hold);
+    [[nodiscard]] milliseconds expected_query_time(const candidate& item, const capacity_hold& hold);
 
     // dispatcher_gang_reservations.cpp: reservations for gangs that have waited long
-    [[nodiscard]] std::vector<candidate> gangs_by_waiting(const std::vector<candidate>& items,
-                                                          monotonic_time now);
-    [[nodiscard]] reservation_review begin_review(pool_number pool);
-    void review_gangs(const std::vector<candidate>& items, monotonic_time now);
-    [[nodiscard]] host_forecast outlook_on(const candidate& item, const offer& o,
-                                           const std::map<step_ref, capacity_hold>& before,
-                                           monotonic_time now);
+    [[nodiscard]] std::vector<candidate> gangs_by_waiting_time(const std::vector<candidate>& items,
+                                                               monotonic_time now);
+    [[nodiscard]] reservation_review begin_reservation_review(pool_number pool);
+    void review_reservations(const std::vector<candidate>& items, monotonic_time now);
+    [[nodiscard]] host_forecast forecast_host(const candidate& item, const offer& o,
+                                              const std::map<step_ref, capacity_hold>& before,
+                                              monotonic_time now);
     [[nodiscard]] std::optional<gang_reservation>
     find_reservation(const candidate& item, const std::map<step_ref, capacity_hold>& before,
                      monotonic_time now);
@@ -206,28 +208,29 @@
     [[nodiscard]] bool has_reservation(const step_ref& ref) const;
     [[nodiscard]] resources reserved_for_others(const candidate& item, worker_incarnation_id host,
                                                 bool meantime, monotonic_time now) const;
-    void ask_for_reserved(const candidate& item, monotonic_time now);
+    void query_advisor_for_reservation(const candidate& item, monotonic_time now);
 
     // dispatcher_reserve.cpp: hosts reserved for large tasks
     void reserve_hosts(const candidate& item, std::uint32_t left, monotonic_time now);
-    void learn_large_hosts(const candidate& item, monotonic_time now);
+    void query_large_hosts(const candidate& item, monotonic_time now);
     [[nodiscard]] std::size_t reserved_hosts(const candidate& item) const;
-    [[nodiscard]] std::size_t most_reserved(const candidate& item);
+    [[nodiscard]] std::size_t max_reserved_hosts(const candidate& item);
     [[nodiscard]] std::vector<worker_incarnation_id>
     hosts_soon_free(const candidate& item, const capacity_hold& hold, monotonic_time now);
     [[nodiscard]] std::vector<run_forecast> forecast_runs(const offer& o) const;
-    [[nodiscard]] std::optional<double> time_until_room_on(const candidate& item, const offer& o) const;
-    [[nodiscard]] std::optional<double> expected_left_ms(const run_ref& run, const run_view& known) const;
+    [[nodiscard]] std::optional<double> time_until_task_fits(const candidate& item, const offer& o) const;
+    [[nodiscard]] std::optional<double> expected_remaining_ms(const run_ref& run,
+                                                              const run_view& known) const;
 
     // dispatcher_advice.cpp: queries to the placement advisor
-    void ask_advice(const candidate& item, std::uint32_t need, monotonic_time now);
-    void keep_tickets(const candidate& item, monotonic_time now);
-    [[nodiscard]] bool may_ask(const candidate& item, bool pressing, monotonic_time now);
+    void query_advisor(const candidate& item, std::uint32_t need, monotonic_time now);
+    void renew_tickets(const candidate& item, monotonic_time now);
+    [[nodiscard]] bool may_query_advisor(const candidate& item, bool pressing, monotonic_time now);
     void send_advisor_query(const candidate& item, const std::vector<worker_incarnation_id>& workers,
                             bool pressing, monotonic_time now);
-    void take_advice(const step_ref& ref, const std::string& queue,
-                     const std::vector<worker_incarnation_id>& workers, const advice_answer& answer,
-                     milliseconds validity);
+    void handle_advice(const step_ref& ref, const std::string& queue,
+                       const std::vector<worker_incarnation_id>& workers, const advice_answer& answer,
+                       milliseconds validity);
 
     // dispatcher_preempt.cpp: preemption
     void preempt_for(const candidate& item, std::uint32_t need, monotonic_time now);
@@ -237,61 +240,63 @@
 
     // dispatcher_polling.cpp: polls, leases, run ends; dispatcher_orders.cpp: starts, stops, retries
     void poll_workers(monotonic_time now);
-    void look_at(worker_view& view, monotonic_time now);
-    [[nodiscard]] bool may_rest(const worker_view& view) const;
+    void poll_worker(worker_view& view, monotonic_time now);
+    [[nodiscard]] bool may_poll_rarely(const worker_view& view) const;
     void poll_rarely(worker_view& view, monotonic_time now) const;
-    [[nodiscard]] duration longest_quiet() const;
-    void ask_a_resting_worker(monotonic_time now);
+    [[nodiscard]] duration max_expected_silence() const;
+    void poll_one_idle_worker(monotonic_time now);
     static void poll_promptly(worker_view& view, monotonic_time now);
-    void note_look(const worker_view& view, bool lost, monotonic_time now);
-    [[nodiscard]] bool looks_get_lost() const
+    void record_poll_outcome(const worker_view& view, bool lost, monotonic_time now);
+    [[nodiscard]] bool polls_often_lost() const
     {
-        return m_lost_looks > m_settings.poll_loss_threshold && uses(mechanism::short_looks);
+        return m_poll_loss_rate > m_settings.poll_loss_threshold && uses(mechanism::short_looks);
     }
     void handle_poll_answer(worker_incarnation_id worker, const poll_answer& answer, monotonic_time sent,
                             monotonic_time now);
-    void take_restart(worker_view& view, const poll_answer& answer, monotonic_time now);
-    [[nodiscard]] std::vector<lost_run> lost_at_restart(const worker_view& former, const poll_answer& answer,
-                                                        monotonic_time now) const;
-    void note_restart(const worker_view& former, process_start_ms process_start, std::string_view from,
-                      monotonic_time now);
-    void look_at_new_life(const worker_incarnation_ref& incarnation, monotonic_time now);
-    void rule_out_late_starts(worker_view& view, monotonic_time now);
-    void take_runs(worker_view& view, const poll_answer& answer, monotonic_time now);
-    void take_ends(worker_view& view, const poll_answer& answer, monotonic_time sent, monotonic_time now);
-    void note_absent(const std::set<run_ref>& absent);
+    void handle_restart(worker_view& view, const poll_answer& answer, monotonic_time now);
+    [[nodiscard]] std::vector<lost_run>
+    runs_lost_at_restart(const worker_view& former, const poll_answer& answer, monotonic_time now) const;
+    void log_restart(const worker_view& former, process_start_ms process_start, std::string_view from,
+                     monotonic_time now);
+    void poll_new_incarnation(const worker_incarnation_ref& incarnation, monotonic_time now);
+    void stop_possible_late_starts(worker_view& view, monotonic_time now);
+    void apply_running(worker_view& view, const poll_answer& answer, monotonic_time now);
+    void apply_ends(worker_view& view, const poll_answer& answer, monotonic_time sent, monotonic_time now);
+    void handle_absent_runs(const std::set<run_ref>& absent);
     void begin_recording(const record_ends& command);
     void end_recording(const record_ends& command);
-    void judge_end(worker_view& view, const reported_end& end, monotonic_time now);
-    void drop_lost(monotonic_time now);
+    void evaluate_end(worker_view& view, const reported_end& end, monotonic_time now);
+    void drop_lost_workers(monotonic_time now);
     [[nodiscard]] duration expected_run_time(const run_ref& run) const;
     [[nodiscard]] static monotonic_time lost_since(const worker_view& view, monotonic_time now);
     [[nodiscard]] std::vector<lost_run> runs_known_on(const worker_view& view, monotonic_time now) const;
-    [[nodiscard]] bool may_have_broken_before(const run_ref& run, monotonic_time lost_at,
-                                              worker_incarnation_id lost_with) const;
-    [[nodiscard]] bool outlived(const run_ref& run, worker_incarnation_id worker, monotonic_time then) const;
+    [[nodiscard]] bool gang_may_have_broken_earlier(const run_ref& run, monotonic_time lost_at,
+                                                    worker_incarnation_id lost_with) const;
+    [[nodiscard]] bool responded_since(const run_ref& run, worker_incarnation_id worker,
+                                       monotonic_time then) const;
     [[nodiscard]] std::vector<lost_run> runs_lost_with(const worker_view& view, monotonic_time now) const;
-    void keep_last_word(worker_view& view, monotonic_time now);
-    void forget_last_word(worker_view& view);
-    void record_last_word(worker_view& view, std::vector<lost_run> runs);
-    void note_lost_runs(const worker_view& view, const std::vector<lost_run>& lost, monotonic_time now);
-    void note_verdicts(monotonic_time now);
-    void drop_replaced(worker_view& view, monotonic_time now);
-    void drop_worker_life(worker_view& view, std::string_view reason, bool for_good, monotonic_time now);
+    void save_last_known_runs(worker_view& view, monotonic_time now);
+    void clear_last_known_runs(worker_view& view);
+    void propose_last_known_runs(worker_view& view, std::vector<lost_run> runs);
+    void log_lost_runs(const worker_view& view, const std::vector<lost_run>& lost, monotonic_time now);
+    void log_poison_tasks(monotonic_time now);
+    void drop_replaced_worker(worker_view& view, monotonic_time now);
+    void drop_incarnation(worker_view& view, std::string_view reason, bool for_good, monotonic_time now);
     void send_start(worker_incarnation_id worker, const run_ref& run, monotonic_time now);
     void note_start(worker_view& view, const run_ref& run, monotonic_time now);
     [[nodiscard]] bool may_still_start(const worker_view& view, const run_ref& run) const;
-    void send_recorded(const record_starts& recorded, const std::vector<std::string>& tickets,
-                       monotonic_time now);
+    void send_recorded_starts(const record_starts& recorded, const std::vector<std::string>& tickets,
+                              monotonic_time now);
     void handle_start_answer(worker_incarnation_id worker, const run_ref& run, const order_answer& answer,
                              monotonic_time now);
-    void take_unsent_start(worker_view& view, const run_ref& run, order_outcome outcome, monotonic_time now);
-    static void note_unsent_call(worker_view& view, order_outcome outcome, monotonic_time now);
+    void handle_unsent_start(worker_view& view, const run_ref& run, order_outcome outcome,
+                             monotonic_time now);
+    static void record_unsent_call(worker_view& view, order_outcome outcome, monotonic_time now);
     void send_stop(worker_view& view, const run_ref& run, monotonic_time now);
     void handle_stop_answer(worker_incarnation_id worker, const run_ref& run, const order_answer& answer,
                             monotonic_time now);
     void retry_orders(monotonic_time now);
-    void watch_runs(monotonic_time now);
+    void check_stalled_runs(monotonic_time now);
     void end_run(worker_incarnation_id worker, const run_ref& run, run_end how, monotonic_time now);
     void stop_rest_of_gang(const run_ref& run, monotonic_time now);
     [[nodiscard]] worker_address address_of(worker_incarnation_id worker) const;
@@ -301,17 +306,18 @@
     void pace_fillers(worker_view& view, const poll_answer& answer, monotonic_time now);
     void slow_fillers(worker_view& view, monotonic_time now);
     void send_paces(worker_view& view, monotonic_time now);
-    [[nodiscard]] bool may_end_lasting(const run_ref& run);
-    [[nodiscard]] bool at_work(const task_ref& ref);
+    [[nodiscard]] bool may_stop_long_running(const run_ref& run);
+    [[nodiscard]] bool at_full_pace(const task_ref& ref);
 
     // dispatcher_maintenance.cpp: host maintenance
-    void advance_waves(monotonic_time now, wall_ms wall);
-    [[nodiscard]] bool lost_in_upkeep(const std::string& host, monotonic_time now);
-    [[nodiscard]] bool blocks_its_turn(const std::string& host, monotonic_time now);
-    [[nodiscard]] std::set<std::string> choose_hosts(const maintenance_wave& wave, monotonic_time now);
+    void advance_maintenance_waves(monotonic_time now, wall_ms wall);
+    [[nodiscard]] bool missing_in_maintenance(const std::string& host, monotonic_time now);
+    [[nodiscard]] bool drain_blocked(const std::string& host, monotonic_time now);
+    [[nodiscard]] std::set<std::string> choose_maintenance_hosts(const maintenance_wave& wave,
+                                                                 monotonic_time now);
     void advance_wave(const maintenance_wave& wave, monotonic_time now, wall_ms wall);
-    void await_return(const maintenance_wave& wave, const worker_incarnation& worker, monotonic_time now);
-    bool empty_host(const worker_incarnation& worker, monotonic_time now, bool hurry);
+    void confirm_return(const maintenance_wave& wave, const worker_incarnation& worker, monotonic_time now);
+    bool drain_host(const worker_incarnation& worker, monotonic_time now, bool force_stop);
 
     const workload_state& m_state;
     dispatch_settings m_settings;
@@ -325,46 +331,48 @@
 
     std::map<worker_incarnation_id, worker_view> m_views;
     std::uint64_t m_synced_version = 0;
-    monotonic_time m_tidy_due{};
-    monotonic_time m_waiting_due{};                        ///< next log line about the longest waiting step
-    std::map<std::string, monotonic_time> m_doubted_racks; ///< when a host there was last suspected
-    std::size_t m_unheard_runs = 0; ///< runs on workers that have not answered for longer than a lease
-    contact_streak m_hearing;
+    monotonic_time m_periodic_work_due{};
+    monotonic_time m_waiting_log_due{};                      ///< next log line about the longest waiting step
+    std::map<std::string, monotonic_time> m_suspected_racks; ///< when a host there was last suspected
+    std::size_t m_runs_on_unresponsive_workers =
+        0; ///< runs on workers that have not answered for longer than a lease
+    contact_streak m_contact_history;
     monotonic_time m_review_due{};
-    monotonic_time m_full_due{}; ///< next pass over steps that are not urgent
-    double m_lost_looks = 0.0;   ///< moving average of the share of polls that got no answer
-    double m_usual_speed = 1.0;  ///< median speed of the faster half of the hosts
-    bool m_full_wanted = false;  ///< steps that are not urgent are waiting
-    std::map<task_ref, worker_incarnation_id> m_planned; ///< starts that are being committed
-    std::map<std::string, resources> m_planned_by;       ///< resources of these starts by organisation
+    monotonic_time m_full_pass_due{}; ///< next pass over steps that are not urgent
+    double m_poll_loss_rate = 0.0;    ///< moving average of the share of polls that got no answer
+    double m_typical_speed = 1.0;     ///< median speed of the faster half of the hosts
+    bool m_full_pass_needed = false;  ///< steps that are not urgent are waiting
+    std::map<task_ref, worker_incarnation_id> m_planned;        ///< starts that are being committed
+    std::map<std::string, resources> m_planned_by_organisation; ///< resources of these starts by organisation
     unconfirmed_submissions m_unconfirmed;
     advice_cache m_advice;
     run_time_estimator m_objectives;
-    std::map<step_ref, capacity_hold> m_holds;       ///< capacity holds and reservations
-    std::map<step_ref, monotonic_time> m_hold_after; ///< back-off of gangs whose hold expired
-    std::map<step_ref, monotonic_time> m_gang_retry; ///< next placement attempt of gangs without a hold
-    std::map<step_ref, monotonic_time> m_gang_since; ///< waiting gangs, and since when they wait
+    std::map<step_ref, capacity_hold> m_holds;               ///< capacity holds and reservations
+    std::map<step_ref, monotonic_time> m_hold_backoff_until; ///< back-off of gangs whose hold expired
+    std::map<step_ref, monotonic_time> m_gang_retry_at; ///< next placement attempt of gangs without a hold
+    std::map<step_ref, monotonic_time> m_gang_waiting_since; ///< waiting gangs, and since when they wait
     monotonic_time m_gang_review_due{};
-    std::set<step_ref> m_seeks_hosts; ///< overdue gangs with too few approved hosts
+    std::set<step_ref> m_gangs_short_of_hosts; ///< overdue gangs with too few approved hosts
     std::map<worker_incarnation_id, std::vector<step_ref>> m_reserved_on; ///< gangs with a reservation there
-    std::map<step_ref, monotonic_time> m_preempted;                       ///< last preemption for a step
+    std::map<step_ref, monotonic_time> m_last_preemption;                 ///< last preemption for a step
     resources m_large_task{};                                             ///< typical size of a gang's task
-    std::set<std::string> m_joining; ///< hosts whose incarnations are being admitted
-    std::set<std::string> m_upkeep_in_flight;
-    std::map<std::string, monotonic_time> m_upkeep_retry;
-    std::map<std::string, monotonic_time> m_upkeep_taken;   ///< when the platform accepted a host's order
-    std::map<std::string, monotonic_time> m_upkeep_absent;  ///< since when a host of a wave has no worker
-    std::map<std::string, monotonic_time> m_upkeep_blocked; ///< since when a host may not be drained
-    std::set<std::string> m_upkeep_passed;                  ///< ordered hosts that no longer delay the others
-    std::set<std::string> m_upkeep_hosts;                   ///< hosts being drained for maintenance
+    std::set<std::string> m_admitting_hosts; ///< hosts whose incarnations are being admitted
+    std::set<std::string> m_maintenance_in_flight;
+    std::map<std::string, monotonic_time> m_maintenance_retry;
+    std::map<std::string, monotonic_time>
+        m_maintenance_accepted;                                 ///< when the platform accepted a host's order
+    std::map<std::string, monotonic_time> m_maintenance_absent; ///< since when a host of a wave has no worker
+    std::map<std::string, monotonic_time> m_drain_blocked_since; ///< since when a host may not be drained
+    std::set<std::string> m_maintenance_overtaken; ///< ordered hosts that no longer delay the others
+    std::set<std::string> m_maintenance_hosts;     ///< hosts being drained for maintenance
     host_table m_hosts;
     suspect_isolation m_suspects;
-    freed_capacity_log m_news; ///< hosts on which capacity became free
+    freed_capacity_log m_freed_hosts; ///< hosts on which capacity became free
     /// A step for which too little capacity was free.
     struct waiting_step
     {
-        std::uint64_t seen{};        ///< position in the log of freed hosts up to which it has checked
-        monotonic_time look_again{}; ///< next scan of all hosts
+        std::uint64_t seen{};            ///< position in the log of freed hosts up to which it has checked
+        monotonic_time next_full_scan{}; ///< next scan of all hosts
     };
     std::map<step_ref, waiting_step> m_waiting;
     /// Run ends of one submission that are being committed.
@@ -373,9 +381,9 @@
         std::size_t entries{};
         std::vector<std::function<void()>> waiting;
     };
-    std::map<submission_id, pending_ends> m_recording;
-    std::uint64_t m_verdicts_noted; ///< how many poison tasks were logged so far
-    bool m_forgetting = false;
+    std::map<submission_id, pending_ends> m_pending_ends;
+    std::uint64_t m_poison_tasks_logged; ///< how many poison tasks were logged so far
+    bool m_expiry_in_flight = false;
     dispatch_counters m_counters;
 
   public:
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -11,10 +11,10 @@
 
 namespace
 {
-constexpr std::size_t forget_at_once = 200;         // bounds the size of one log entry
-constexpr std::size_t most_failed_placements = 120; // per pass: after so many failures, few others would fit
-constexpr std::size_t news_kept = 4096;             // two seconds of the peak load at 1,100 workers
-constexpr duration tidy_every = milliseconds(50);   // a fifth of the shortest retry interval
+constexpr std::size_t max_expired_per_command = 200; // bounds the size of one log entry
+constexpr std::size_t max_failed_placements = 120;   // per pass: after so many failures, few others would fit
+constexpr std::size_t freed_host_log_size = 4096;    // two seconds of the peak load at 1,100 workers
+constexpr duration periodic_work_interval = milliseconds(50); // a fifth of the shortest retry interval
 // For work that visits every run: stalled runs, speeds and expiry change within seconds.
 constexpr duration review_interval = milliseconds(250);
 // Percent: pace of filling tasks that an earlier leader started, until tail latencies are known.
@@ -24,15 +24,15 @@
 {
     return 3 + static_cast<int>(expected_timeliness);
 }
-constexpr duration idle_pass = milliseconds(100); // checks leases, retries and due times
+constexpr duration idle_pass_interval = milliseconds(100); // checks leases, retries and due times
 } // namespace
 
 dispatcher::dispatcher(const workload_state& state, dispatch_settings settings, dispatch_hooks hooks,
                        decision_log& log, std::uint64_t fence, monotonic_time now)
     : m_state(state), m_settings(settings), m_hooks(std::move(hooks)), m_log(log), m_fence(fence),
-      m_term_start(now), m_hosts(m_state, m_views, m_settings, m_upkeep_hosts),
-      m_suspects(state.crashes(), m_settings.suspect_watch_period), m_news(news_kept),
-      m_verdicts_noted(state.crashes().poison_task_count())
+      m_term_start(now), m_hosts(m_state, m_views, m_settings, m_maintenance_hosts),
+      m_suspects(state.crashes(), m_settings.suspect_watch_period), m_freed_hosts(freed_host_log_size),
+      m_poison_tasks_logged(state.crashes().poison_task_count())
 {
     if (!uses(mechanism::answer_tickets))
     {
@@ -44,7 +44,7 @@
 dispatcher::~dispatcher()
 {
     *m_alive = false;
-    for (auto& [id, pending] : std::exchange(m_recording, {}))
+    for (auto& [id, pending] : std::exchange(m_pending_ends, {}))
     {
         for (const auto& then : pending.waiting)
         {
@@ -143,32 +143,32 @@
 
 monotonic_time dispatcher::next_pass(monotonic_time now) const
 {
-    return m_full_wanted ? std::max(m_full_due, now) : now + idle_pass;
+    return m_full_pass_needed ? std::max(m_full_pass_due, now) : now + idle_pass_interval;
 }
 
 void dispatcher::pass(monotonic_time now, wall_ms wall)
 {
     m_wall = wall;
     sync_views(now);
-    if (now >= m_tidy_due)
+    if (now >= m_periodic_work_due)
     {
-        m_tidy_due = now + tidy_every;
-        tidy(now, wall);
+        m_periodic_work_due = now + periodic_work_interval;
+        run_periodic_work(now, wall);
     }
-    const bool all = now >= m_full_due;
+    const bool all = now >= m_full_pass_due;
     if (all)
     {
-        m_full_due = now + m_settings.full_pass_interval;
+        m_full_pass_due = now + m_settings.full_pass_interval;
     }
-    stop_unwanted(now);
+    stop_unwanted_runs(now);
     m_hosts.begin_pass(now);
     m_suspects.find_isolated(m_state);
-    note_waiting(now, wall);
+    log_waiting(now, wall);
     std::size_t failed = 0;
     std::vector<candidate> candidates = order_candidates(wall, all);
     if (all)
     {
-        review_gangs(candidates, now);
+        review_reservations(candidates, now);
     }
     for (candidate& item : candidates)
     {
@@ -179,9 +179,9 @@
             continue;
         }
         item.placed = placed_tasks(item);
-        item.lost_with_host = has_lost_tasks(item);
+        item.lost_with_host = has_crash_suspects(item);
         failed += place(item, now) ? 0 : 1;
-        if (failed > most_failed_placements)
+        if (failed > max_failed_placements)
         {
             break;
         }
@@ -189,22 +189,22 @@
 }
 
 // Work that is not needed after every answer.
-void dispatcher::tidy(monotonic_time now, wall_ms wall)
+void dispatcher::run_periodic_work(monotonic_time now, wall_ms wall)
 {
-    drop_lost(now);
-    find_doubted_racks();
-    note_verdicts(now);
+    drop_lost_workers(now);
+    find_suspected_racks();
+    log_poison_tasks(now);
     poll_workers(now);
     retry_orders(now);
-    advance_waves(now, wall);
-    review_holds(now);
+    advance_maintenance_waves(now, wall);
+    expire_holds(now);
     if (now >= m_review_due)
     {
         m_review_due = now + review_interval;
-        watch_runs(now);
+        check_stalled_runs(now);
         m_unconfirmed.prune(m_state);
-        learn_usual_speed();
-        forget_old(wall);
+        update_typical_speed();
+        expire_submissions(wall);
     }
 }
 
@@ -266,13 +266,13 @@
 std::vector<dispatcher::candidate> dispatcher::order_candidates(wall_ms wall, bool all)
 {
     std::vector<candidate> out;
-    m_full_wanted = false;
+    m_full_pass_needed = false;
     for (const step_ref& ref : m_state.ready())
     {
         candidate item = make_candidate(ref);
         if (!all && !item.urgent() && !item.step->long_running)
         {
-            m_full_wanted = true;
+            m_full_pass_needed = true;
         }
         else if (evaluate_candidate(item, wall))
         {
@@ -298,16 +298,17 @@
     return out;
 }
 
-void dispatcher::forget_old(wall_ms wall)
+void dispatcher::expire_submissions(wall_ms wall)
 {
-    if (m_forgetting)
+    if (m_expiry_in_flight)
     {
         return;
     }
     forget_submissions command;
     for (const auto& [ended, id] : m_state.ended())
     {
-        if (ended + m_settings.final_retention.count() > wall || command.ids.size() >= forget_at_once)
+        if (ended + m_settings.final_retention.count() > wall ||
+            command.ids.size() >= max_expired_per_command)
         {
             break;
         }
@@ -325,27 +326,27 @@
     {
         return !m_state.ready().contains(item.first);
     };
-    std::erase_if(m_preempted, over);
-    std::erase_if(m_hold_after, over);
-    std::erase_if(m_gang_retry, over);
+    std::erase_if(m_last_preemption, over);
+    std::erase_if(m_hold_backoff_until, over);
+    std::erase_if(m_gang_retry_at, over);
     std::erase_if(m_waiting, over);
     if (command.ids.empty())
     {
         return;
     }
-    m_forgetting = true;
+    m_expiry_in_flight = true;
     m_hooks.propose(std::move(command),
                     [this, alive = m_alive](bool /*committed*/)
                     {
                         if (*alive)
                         {
-                            m_forgetting = false;
+                            m_expiry_in_flight = false;
                         }
                     });
 }
 
 // Stops the runs of submissions that have ended or were cancelled.
-void dispatcher::stop_unwanted(monotonic_time now)
+void dispatcher::stop_unwanted_runs(monotonic_time now)
 {
     for (const submission_id id : m_state.closing())
     {
@@ -376,7 +377,7 @@
     const resources room = host_demand_of(*item.step);
     const resources counted = item.step->size * static_cast<std::int64_t>(starts.size());
     drop_hold(item.ref);
-    m_planned_by[item.owner->organisation] += counted;
+    m_planned_by_organisation[item.owner->organisation] += counted;
     if (m_hooks.planned)
     {
         const wall_ms since = std::max(item.owner->spec.due_at(item.ref.round), item.owner->accepted);
@@ -412,19 +413,20 @@
                         {
                             m_unconfirmed.add(id, queue);
                         }
-                        m_planned_by[organisation] -= counted;
+                        m_planned_by_organisation[organisation] -= counted;
                         for (const planned_start& planned : starts)
                         {
                             m_planned.erase(planned.task);
                             if (worker_view* view = view_of(planned.worker); view != nullptr)
                             {
                                 view->planned -= room;
-                                m_news.note(planned.worker); // the state machine may have refused the start
+                                m_freed_hosts.note(
+                                    planned.worker); // the state machine may have refused the start
                             }
                         }
                         if (committed)
                         {
-                            send_recorded(record_starts{starts}, tickets, m_hooks.now());
+                            send_recorded_starts(record_starts{starts}, tickets, m_hooks.now());
                         }
                         m_hooks.wake();
                     });
--- a/src/dispatch/dispatcher_advice.cpp
+++ b/src/dispatch/dispatcher_advice.cpp
@@ -11,18 +11,18 @@
 
 namespace
 {
-constexpr std::size_t least_asked = 3;               // most of a query's cost is fixed
-constexpr std::size_t spare_asked = 20;              // naming more workers than that gains little
-constexpr double spare_cost = 0.12;                  // share of a query's time that extra workers may add
-constexpr double spare_factor = 1.4;                 // margin over the need: approval rates are averages
-constexpr std::uint64_t most_counted_slots = 0xFFFF; // 16 bits of the sort key
-constexpr std::size_t hosts_to_choose_from = 350;    // candidates of a first query: more gain nothing
+constexpr std::size_t min_queried_workers = 3;      // most of a query's cost is fixed
+constexpr std::size_t max_min_queried_workers = 20; // naming more workers than that gains little
+constexpr double extra_query_cost = 0.12;           // share of a query's time that extra workers may add
+constexpr double overquery_factor = 1.4;            // margin over the need: approval rates are averages
+constexpr std::uint64_t max_counted_slots = 0xFFFF; // 16 bits of the sort key
+constexpr std::size_t first_query_hosts = 350;      // candidates of a first query: more gain nothing
 constexpr double first_query_slot_factor = 3.0; // times the needed slots, to leave a choice of better hosts
 constexpr double full_worker_weight = 0.35;     // a full worker may have free capacity soon
 } // namespace
 
 // `pressing` queries go ahead of others and do not wait for a free query process.
-bool dispatcher::may_ask(const candidate& item, bool pressing, monotonic_time now)
+bool dispatcher::may_query_advisor(const candidate& item, bool pressing, monotonic_time now)
 {
     if (item.queue == nullptr || !item.queue->advised)
     {
@@ -35,22 +35,22 @@
 
 // For a first query it is enough to choose among a few hundred hosts, starting at an offset that differs
 // between submissions. If these have too few free slots, more hosts are added.
-std::vector<dispatcher::offer> dispatcher::find_offers_to_ask(const candidate& item, std::uint32_t need,
-                                                              monotonic_time now)
+std::vector<dispatcher::offer> dispatcher::find_offers_to_query(const candidate& item, std::uint32_t need,
+                                                                monotonic_time now)
 {
     const bool first = m_advice.of(item.ref).entries.empty();
-    if (!first || m_hosts.size() <= hosts_to_choose_from)
+    if (!first || m_hosts.size() <= first_query_hosts)
     {
         return find_offers(item, now);
     }
     const double share = m_advice.good_share(item.owner->queue);
     const std::size_t from = std::hash<submission_id>{}(item.ref.submission) % m_hosts.size();
     std::vector<offer> offers;
-    offers.reserve(hosts_to_choose_from);
+    offers.reserve(first_query_hosts);
     double room = 0;
     for (std::size_t i = 0; i < m_hosts.size(); ++i)
     {
-        if (i >= hosts_to_choose_from && room >= first_query_slot_factor * spare_factor * need)
+        if (i >= first_query_hosts && room >= first_query_slot_factor * overquery_factor * need)
         {
             break;
         }
@@ -65,13 +65,13 @@
 }
 
 // Queries for single tasks and urgent gangs; those of other gangs are in dispatcher_gangs.cpp.
-void dispatcher::ask_advice(const candidate& item, std::uint32_t need, monotonic_time now)
+void dispatcher::query_advisor(const candidate& item, std::uint32_t need, monotonic_time now)
 {
-    if (!may_ask(item, item.has_priority(), now))
+    if (!may_query_advisor(item, item.has_priority(), now))
     {
         return;
     }
-    struct question_item
+    struct query_target
     {
         std::uint64_t order; ///< lower values are queried first
         worker_incarnation_id worker;
@@ -85,14 +85,14 @@
         const std::uint64_t flags = (o.slots > 0 ? 0U : 16U) | (o.held ? 8U : 0U) |
                                     (item.urgent() && o.slow ? 4U : 0U) | (o.spares_large_slots ? 0U : 2U) |
                                     (good ? 0U : 1U);
-        const std::uint64_t room = most_counted_slots - std::min<std::uint64_t>(o.slots, most_counted_slots);
+        const std::uint64_t room = max_counted_slots - std::min<std::uint64_t>(o.slots, max_counted_slots);
         return (flags << 48U) | (room << 32U) | o.worker->id.value();
     };
     step_advice& known = m_advice.of(item.ref);
     const double share = m_advice.good_share(item.owner->queue);
-    std::vector<question_item> offers;
+    std::vector<query_target> offers;
     double usable_slots = 0;
-    for (const offer& o : find_offers_to_ask(item, need, now))
+    for (const offer& o : find_offers_to_query(item, need, now))
     {
         const worker_incarnation_id id = o.worker->id;
         const auto entry = known.entries.find(id);
@@ -120,29 +120,30 @@
     }
     const auto named = static_cast<std::ptrdiff_t>(std::min(offers.size(), max_workers_per_question));
     std::partial_sort(offers.begin(), offers.begin() + named, offers.end(),
-                      [](const question_item& x, const question_item& y)
+                      [](const query_target& x, const query_target& y)
                       {
                           return x.order < y.order;
                       });
     const bool first = known.entries.empty();
-    double within_reach = usable_slots;
-    for (const question_item& o : offers)
+    double expected_slots = usable_slots;
+    for (const query_target& o : offers)
     {
-        within_reach += o.slots > 0 ? o.weight : 0.0;
+        expected_slots += o.slots > 0 ? o.weight : 0.0;
     }
-    if (item.step->gang && !first && within_reach < need)
+    if (item.step->gang && !first && expected_slots < need)
     {
         return; // new tickets would expire before all tasks fit
     }
     // Where naming a worker is cheap, a few extra ones save a later query for retries or for faster hosts.
     const advice_settings& terms = item.queue->advice;
-    const double cheap = terms.each_ms > 0 ? spare_cost * terms.decision_ms / terms.each_ms : 0.0;
-    const std::size_t least = std::clamp(static_cast<std::size_t>(cheap), least_asked, spare_asked);
+    const double cheap = terms.each_ms > 0 ? extra_query_cost * terms.decision_ms / terms.each_ms : 0.0;
+    const std::size_t least =
+        std::clamp(static_cast<std::size_t>(cheap), min_queried_workers, max_min_queried_workers);
     std::vector<worker_incarnation_id> asked;
     double sum = usable_slots;
-    for (const question_item& o : offers)
+    for (const query_target& o : offers)
     {
-        const bool done = sum >= need * spare_factor && asked.size() >= least;
+        const bool done = sum >= need * overquery_factor && asked.size() >= least;
         if (done || asked.size() >= max_workers_per_question || (!first && o.slots == 0))
         {
             break;
@@ -152,7 +153,7 @@
     }
     if (asked.empty() && !item.step->gang && !item.has_priority())
     {
-        keep_tickets(item, now);
+        renew_tickets(item, now);
         return;
     }
     send_advisor_query(item, asked, item.has_priority(), now);
@@ -161,7 +162,7 @@
 // Renews the tickets of a waiting step for all approved hosts while query processes are idle. The step can
 // then start as soon as capacity is free instead of after another query, which can take as long as a fifth
 // of its run time.
-void dispatcher::keep_tickets(const candidate& item, monotonic_time now)
+void dispatcher::renew_tickets(const candidate& item, monotonic_time now)
 {
     if (!uses(mechanism::kept_tickets) || (m_hooks.advisors_idle && !m_hooks.advisors_idle()))
     {
@@ -172,7 +173,7 @@
     const step_advice& known = m_advice.of(item.ref);
     // Tickets that would expire during the next query are renewed now.
     const milliseconds question{static_cast<std::int64_t>(item.queue->advice.decision_ms)};
-    for (const offer& o : find_good_offers(item, now))
+    for (const offer& o : find_approved_offers(item, now))
     {
         ++good;
         const advice_entry& entry = known.entries.at(o.worker->id);
@@ -215,14 +216,14 @@
                    {
                        if (*alive)
                        {
-                           take_advice(ref, queue, workers, answer, validity);
+                           handle_advice(ref, queue, workers, answer, validity);
                        }
                    });
 }
 
-void dispatcher::take_advice(const step_ref& ref, const std::string& queue,
-                             const std::vector<worker_incarnation_id>& workers, const advice_answer& answer,
-                             milliseconds validity)
+void dispatcher::handle_advice(const step_ref& ref, const std::string& queue,
+                               const std::vector<worker_incarnation_id>& workers, const advice_answer& answer,
+                               milliseconds validity)
 {
     const monotonic_time now = m_hooks.now();
     step_advice& open = m_advice.of(ref);
@@ -250,9 +251,9 @@
                {"asked", workers.size()},
                {"good", answer.good.size()},
                {"took_ms", answer.took}});
-    m_gang_retry.erase(ref);
+    m_gang_retry_at.erase(ref);
     m_waiting.erase(ref);
-    m_full_due = std::min(m_full_due, now); // uses the tickets before they expire
+    m_full_pass_due = std::min(m_full_pass_due, now); // uses the tickets before they expire
     m_hooks.wake();
 }
 
--- a/src/dispatch/dispatcher_gang_room.cpp
+++ b/src/dispatch/dispatcher_gang_room.cpp
@@ -12,14 +12,14 @@
 
 namespace
 {
-constexpr double commit_unknown_ms = 1000; // assumed run time of starts that are being committed
+constexpr double planned_run_estimate_ms = 1000; // assumed run time of starts that are being committed
 } // namespace
 
 // Gangs all of whose tasks wait, longest waiting first. The replicated state does not record when a dependent
 // step became ready or when its last run ended: for these the time counts from when this leader first saw
 // them wait.
-std::vector<dispatcher::candidate> dispatcher::gangs_by_waiting(const std::vector<candidate>& items,
-                                                                monotonic_time now)
+std::vector<dispatcher::candidate> dispatcher::gangs_by_waiting_time(const std::vector<candidate>& items,
+                                                                     monotonic_time now)
 {
     std::map<step_ref, monotonic_time> since;
     std::vector<candidate> gangs;
@@ -30,25 +30,25 @@
         {
             continue;
         }
-        const auto known = m_gang_since.find(item.ref);
+        const auto known = m_gang_waiting_since.find(item.ref);
         const auto& tasks = item.owner->rounds[item.ref.round.value()].steps[item.ref.step].tasks;
         const bool first_attempt = item.step->after.empty() && tasks.front().run == 0;
         const wall_ms turn = std::max(item.owner->spec.due_at(item.ref.round), item.owner->accepted);
         const milliseconds waited{first_attempt ? std::max<wall_ms>(m_wall - turn, 0) : 0};
-        since[item.ref] = known != m_gang_since.end() ? known->second : now - waited;
+        since[item.ref] = known != m_gang_waiting_since.end() ? known->second : now - waited;
         gangs.push_back(item);
     }
-    m_gang_since = std::move(since);
+    m_gang_waiting_since = std::move(since);
     std::sort(gangs.begin(), gangs.end(),
               [this](const candidate& a, const candidate& b)
               {
-                  return std::make_tuple(m_gang_since.at(a.ref), a.ref) <
-                         std::make_tuple(m_gang_since.at(b.ref), b.ref);
+                  return std::make_tuple(m_gang_waiting_since.at(a.ref), a.ref) <
+                         std::make_tuple(m_gang_waiting_since.at(b.ref), b.ref);
               });
     return gangs;
 }
 
-reservation_review dispatcher::begin_review(pool_number pool)
+reservation_review dispatcher::begin_reservation_review(pool_number pool)
 {
     resources room;
     resources in_use;
@@ -65,28 +65,28 @@
 }
 
 // Recomputes the reservations of the gangs that have waited longest; most reservations stay the same.
-void dispatcher::review_gangs(const std::vector<candidate>& items, monotonic_time now)
+void dispatcher::review_reservations(const std::vector<candidate>& items, monotonic_time now)
 {
     if (!uses(mechanism::reservations) || now < m_gang_review_due)
     {
         return;
     }
     m_gang_review_due = now + m_settings.reservations.review;
-    m_seeks_hosts.clear();
+    m_gangs_short_of_hosts.clear();
     std::map<pool_number, reservation_review> reviews;
     std::map<step_ref, capacity_hold> next;
     std::map<step_ref, capacity_hold> kept; // the first of each pool, and those that can start now
     std::size_t max_reviewed = 0;
-    for (candidate& item : gangs_by_waiting(items, now))
+    for (candidate& item : gangs_by_waiting_time(items, now))
     {
         auto review = reviews.find(item.pool);
         if (review == reviews.end())
         {
-            review = reviews.emplace(item.pool, begin_review(item.pool)).first;
+            review = reviews.emplace(item.pool, begin_reservation_review(item.pool)).first;
         }
         item.permitted = permitted_tasks(item);
-        if (!review->second.has_waited_enough(now - m_gang_since.at(item.ref)) || item.permitted == 0 ||
-            has_suspect_at_rest(item, now))
+        if (!review->second.has_waited_enough(now - m_gang_waiting_since.at(item.ref)) ||
+            item.permitted == 0 || has_suspect_in_backoff(item, now))
         {
             continue;
         }
@@ -107,7 +107,7 @@
         const resources wanted = host_demand_of(*item.step) * item.step->count;
         if (!found)
         {
-            m_seeks_hosts.insert(item.ref);
+            m_gangs_short_of_hosts.insert(item.ref);
         }
         else if (review->second.admits(wanted, item.missed(), found->ready_ms))
         {
@@ -124,8 +124,8 @@
 }
 
 // Forecasts when the host can take one, two, ... tasks of the gang, beside the reservations in `before`.
-host_forecast dispatcher::outlook_on(const candidate& item, const offer& o,
-                                     const std::map<step_ref, capacity_hold>& before, monotonic_time now)
+host_forecast dispatcher::forecast_host(const candidate& item, const offer& o,
+                                        const std::map<step_ref, capacity_hold>& before, monotonic_time now)
 {
     const host_row& row = *m_hosts.find(o.worker->id);
     resources open = row.open;
@@ -141,7 +141,7 @@
     std::vector<run_forecast> runs = forecast_runs(o);
     if (row.view->planned != resources{})
     {
-        runs.push_back({row.view->planned, commit_unknown_ms});
+        runs.push_back({row.view->planned, planned_run_estimate_ms});
     }
     const auto held = m_holds.find(item.ref);
     host_forecast out;
@@ -161,7 +161,7 @@
                                                              const std::map<step_ref, capacity_hold>& before,
                                                              monotonic_time now)
 {
-    const std::vector<offer> offers = find_good_offers(item, now);
+    const std::vector<offer> offers = find_approved_offers(item, now);
     std::uint32_t whole = 0;
     for (const offer& o : offers)
     {
@@ -175,7 +175,7 @@
     hosts.reserve(offers.size());
     for (const offer& o : offers)
     {
-        hosts.push_back(outlook_on(item, o, before, now));
+        hosts.push_back(forecast_host(item, o, before, now));
     }
     return choose_earliest_hosts(hosts, item.step->count);
 }
@@ -203,7 +203,7 @@
     log_event(now, "gang_reserved", name_of(item.ref),
               {{"tasks", out.total},
                {"hosts", out.tasks.size()},
-               {"waited_ms", now - m_gang_since.at(item.ref)},
+               {"waited_ms", now - m_gang_waiting_since.at(item.ref)},
                {"ready_ms", static_cast<std::int64_t>(found.ready_ms)},
                {"missed", out.missed}});
     return out;
@@ -280,15 +280,15 @@
 
 // Queries tickets for the reserved hosts shortly before they are due, and until then learns of other hosts or
 // renews tickets.
-void dispatcher::ask_for_reserved(const candidate& item, monotonic_time now)
+void dispatcher::query_advisor_for_reservation(const candidate& item, monotonic_time now)
 {
     const capacity_hold& hold = m_holds.at(item.ref);
     if (hold.due > now)
     {
         preempt_for(item, item.step->count, now);
     }
-    const bool soon = item.queue != nullptr && hold.due <= now + question_time(item, hold);
-    if (!may_ask(item, soon, now))
+    const bool soon = item.queue != nullptr && hold.due <= now + expected_query_time(item, hold);
+    if (!may_query_advisor(item, soon, now))
     {
         return;
     }
@@ -297,9 +297,9 @@
         m_advice.of(item.ref).ask_after = now + m_settings.advice_interval;
         send_advisor_query(item, hosts_without_ticket(item, hold, now), true, now);
     }
-    else if (!learn_hosts(item, now))
+    else if (!query_more_hosts(item, now))
     {
-        keep_tickets(item, now);
+        renew_tickets(item, now);
     }
 }
 
--- a/src/dispatch/dispatcher_gangs.cpp
+++ b/src/dispatch/dispatcher_gangs.cpp
@@ -14,16 +14,16 @@
 
 namespace
 {
-constexpr std::int64_t large_task_memory = 8; // divisor of the moving average of gang task sizes
-constexpr double spare_factor = 1.5;          // margin over the need: approval rates are averages
+constexpr std::int64_t large_task_smoothing = 8; // divisor of the moving average of gang task sizes
+constexpr double overquery_factor = 1.5;         // margin over the need: approval rates are averages
 // Workers per query: naming them takes about as long again as the fixed part of a query.
-constexpr std::size_t learning_question = 64;
+constexpr std::size_t workers_per_query = 64;
 // Bounds the scans of gangs without a hold: many wait, and each attempt scans all hosts of the gang.
-constexpr duration gang_retry = milliseconds(120);
-constexpr std::size_t least_asked = 8; // most of a query's cost is fixed
+constexpr duration gang_retry_interval = milliseconds(120);
+constexpr std::size_t min_queried_workers = 8; // most of a query's cost is fixed
 } // namespace
 
-void dispatcher::learn_large_task(const candidate& item)
+void dispatcher::update_large_task_size(const candidate& item)
 {
     if (item.urgent())
     {
@@ -31,7 +31,7 @@
     }
     const auto follow = [](std::int64_t& learned, std::int64_t seen)
     {
-        learned = learned == 0 ? seen : learned + (seen - learned) / large_task_memory;
+        learned = learned == 0 ? seen : learned + (seen - learned) / large_task_smoothing;
     };
     follow(m_large_task.cpu, item.step->size.cpu);
     follow(m_large_task.memory, item.step->size.memory);
@@ -42,19 +42,19 @@
 // Gangs that need some of a host's accelerators avoid hosts that could serve gangs that need all of them.
 // Gangs without accelerators go where most of their tasks fit: avoiding hosts kept the largest of them
 // waiting.
-bool dispatcher::spares_accelerators(const candidate& item, const offer& o)
+bool dispatcher::preserves_accelerators(const candidate& item, const offer& o)
 {
     return item.step->size.accelerators == 0 || o.spares_large_slots;
 }
 
-bool dispatcher::has_lost_tasks(const candidate& item) const
+bool dispatcher::has_crash_suspects(const candidate& item) const
 {
     const auto& suspects = m_state.crashes().suspects();
     const auto first = suspects.lower_bound(task_ref{item.ref, 0});
     return first != suspects.end() && first->first.step == item.ref;
 }
 
-bool dispatcher::has_suspect_at_rest(const candidate& item, monotonic_time now) const
+bool dispatcher::has_suspect_in_backoff(const candidate& item, monotonic_time now) const
 {
     for (std::uint32_t i = 0; i < item.step->count && !m_state.crashes().suspects().empty(); ++i)
     {
@@ -70,30 +70,30 @@
 bool dispatcher::place_gang(const candidate& item, monotonic_time now)
 {
     const bool holds = m_holds.contains(item.ref);
-    const bool backing_off = !holds && !item.urgent() && now < m_gang_retry[item.ref];
-    if (backing_off || has_suspect_at_rest(item, now) || waiting_tasks(item) != item.step->count)
+    const bool backing_off = !holds && !item.urgent() && now < m_gang_retry_at[item.ref];
+    if (backing_off || has_suspect_in_backoff(item, now) || waiting_tasks(item) != item.step->count)
     {
         return true;
     }
-    m_gang_retry[item.ref] = now + gang_retry;
-    learn_large_task(item);
+    m_gang_retry_at[item.ref] = now + gang_retry_interval;
+    update_large_task_size(item);
     if (start_gang(item, now))
     {
         return true;
     }
     if (item.urgent()) // urgent gangs are small and placed first, so nothing is held for them
     {
-        ask_advice(item, item.step->count, now);
+        query_advisor(item, item.step->count, now);
         preempt_for(item, item.step->count, now);
         return false;
     }
     if (has_reservation(item.ref))
     {
-        ask_for_reserved(item, now);
+        query_advisor_for_reservation(item, now);
         return false;
     }
-    hold_room(item, now);
-    ask_for_gang(item, now);
+    hold_resources(item, now);
+    query_advisor_for_gang(item, now);
     const std::uint32_t held = held_tasks(item.ref);
     if (held < item.step->count)
     {
@@ -105,7 +105,7 @@
 // Starts a gang if all of its tasks fit now and have tickets.
 bool dispatcher::start_gang(const candidate& item, monotonic_time now)
 {
-    std::vector<offer> offers = find_open_offers(item, now);
+    std::vector<offer> offers = find_startable_offers(item, now);
     std::uint32_t sum = 0;
     for (const offer& o : offers)
     {
@@ -115,11 +115,11 @@
     {
         return false;
     }
-    start_gang_on(item, std::move(offers), now);
+    plan_gang_start(item, std::move(offers), now);
     return true;
 }
 
-void dispatcher::start_gang_on(const candidate& item, std::vector<offer> offers, monotonic_time now)
+void dispatcher::plan_gang_start(const candidate& item, std::vector<offer> offers, monotonic_time now)
 {
     std::map<std::string, std::uint32_t> by_rack;
     for (const offer& o : offers)
@@ -147,7 +147,7 @@
                       return small ? std::make_tuple(o.watched, o.contact_penalty, false, -o.speed,
                                                      std::int64_t{o.worker->id.value()})
                                    : std::make_tuple(
-                                         o.watched, o.contact_penalty, !spares_accelerators(item, o),
+                                         o.watched, o.contact_penalty, !preserves_accelerators(item, o),
                                          -static_cast<double>(o.slots), -std::int64_t{o.worker->id.value()});
                   };
                   return key(a) < key(b);
@@ -229,24 +229,24 @@
     for (const auto& [host, count] : hold->second.tasks)
     {
         m_hosts.release(host, hold->second.each * count);
-        m_news.note(host);
+        m_freed_hosts.note(host);
     }
     m_holds.erase(hold);
 }
 
 // Holds free capacity on approved hosts until all tasks of the gang fit. Prefers the hosts on which the gang
 // already holds some.
-void dispatcher::hold_room(const candidate& item, monotonic_time now)
+void dispatcher::hold_resources(const candidate& item, monotonic_time now)
 {
     const auto before = m_holds.find(item.ref);
     const std::uint32_t held_before = before == m_holds.end() ? 0 : before->second.total;
-    std::vector<offer> offers = find_good_offers(item, now);
+    std::vector<offer> offers = find_approved_offers(item, now);
     std::uint32_t sum = 0;
     for (const offer& o : offers)
     {
         sum += o.slots;
     }
-    const bool backing_off = m_hold_after.contains(item.ref) && now < m_hold_after[item.ref];
+    const bool backing_off = m_hold_backoff_until.contains(item.ref) && now < m_hold_backoff_until[item.ref];
     if (sum == 0 || (sum < item.step->count && (backing_off || !may_gather(item))))
     {
         drop_hold(item.ref);
@@ -259,8 +259,8 @@
     std::sort(offers.begin(), offers.end(),
               [&own, &item](const offer& a, const offer& b)
               {
-                  return std::make_tuple(own(b), spares_accelerators(item, b), b.slots, b.worker->id) <
-                         std::make_tuple(own(a), spares_accelerators(item, a), a.slots, a.worker->id);
+                  return std::make_tuple(own(b), preserves_accelerators(item, b), b.slots, b.worker->id) <
+                         std::make_tuple(own(a), preserves_accelerators(item, a), a.slots, a.worker->id);
               });
     capacity_hold next;
     next.each = host_demand_of(*item.step);
@@ -290,7 +290,7 @@
 
 // Drops holds of steps that no longer wait and holds that have not grown for a while, as the held capacity
 // is idle.
-void dispatcher::review_holds(monotonic_time now)
+void dispatcher::expire_holds(monotonic_time now)
 {
     std::vector<step_ref> over;
     for (const auto& [ref, hold] : m_holds)
@@ -300,7 +300,7 @@
         const bool stale = !hold.ahead && now - hold.last_growth > m_settings.hold_timeout;
         if (stale && waits)
         {
-            m_hold_after[ref] = now + m_settings.hold_timeout;
+            m_hold_backoff_until[ref] = now + m_settings.hold_timeout;
             log_event(now, "room_given_up", name_of(ref), {{"tasks", hold.total}, {"of", step->count}});
         }
         if (!waits || stale)
@@ -320,7 +320,7 @@
 
 // The time to expect for a query about all hosts of a hold, queueing included: while queries queue, tickets
 // of the other hosts would expire before a query about some of them is answered.
-milliseconds dispatcher::question_time(const candidate& item, const capacity_hold& hold)
+milliseconds dispatcher::expected_query_time(const candidate& item, const capacity_hold& hold)
 {
     const advice_settings& terms = item.queue->advice;
     const double question_ms = terms.decision_ms + terms.each_ms * static_cast<double>(hold.tasks.size());
@@ -333,7 +333,7 @@
 dispatcher::hosts_without_ticket(const candidate& item, const capacity_hold& hold, monotonic_time now)
 {
     const step_advice& known = m_advice.of(item.ref);
-    const milliseconds needed = m_settings.ticket_margin + question_time(item, hold);
+    const milliseconds needed = m_settings.ticket_margin + expected_query_time(item, hold);
     std::vector<worker_incarnation_id> hosts;
     for (const auto& [host, count] : hold.tasks)
     {
@@ -349,11 +349,11 @@
 
 // First queries the advisor about enough hosts; once capacity for all tasks is held on approved hosts,
 // queries tickets for these.
-void dispatcher::ask_for_gang(const candidate& item, monotonic_time now)
+void dispatcher::query_advisor_for_gang(const candidate& item, monotonic_time now)
 {
     const auto hold = m_holds.find(item.ref);
     const bool complete = hold != m_holds.end() && hold->second.total >= item.step->count;
-    if (!may_ask(item, complete || m_seeks_hosts.contains(item.ref), now))
+    if (!may_query_advisor(item, complete || m_gangs_short_of_hosts.contains(item.ref), now))
     {
         return;
     }
@@ -363,18 +363,18 @@
         send_advisor_query(item, hosts_without_ticket(item, hold->second, now), complete, now);
         return;
     }
-    if (!learn_hosts(item, now))
+    if (!query_more_hosts(item, now))
     {
-        keep_tickets(item, now);
+        renew_tickets(item, now);
     }
 }
 
 // Queries the advisor about more workers if the approved ones do not suffice. Returns whether it sent a
 // query.
-bool dispatcher::learn_hosts(const candidate& item, monotonic_time now)
+bool dispatcher::query_more_hosts(const candidate& item, monotonic_time now)
 {
     // Query processes are few: late gangs, which are worth less, use them only while they are idle.
-    const bool short_of_hosts = m_seeks_hosts.contains(item.ref);
+    const bool short_of_hosts = m_gangs_short_of_hosts.contains(item.ref);
     if (item.missed() && !short_of_hosts && m_hooks.advisors_idle && !m_hooks.advisors_idle())
     {
         return false;
@@ -382,7 +382,7 @@
     step_advice& known = m_advice.of(item.ref);
     known.ask_after = now + m_settings.advice_interval;
     std::vector<worker_incarnation_id> asked;
-    double within_reach = 0;
+    double expected_slots = 0;
     double unknown_free = 0;
     const double share = m_advice.good_share(item.owner->queue);
     std::vector<offer> unknown;
@@ -394,12 +394,12 @@
             unknown.push_back(o);
             unknown_free += share * o.slots;
         }
-        within_reach += entry != known.entries.end() && entry->second.good ? o.whole : 0;
+        expected_slots += entry != known.entries.end() && entry->second.good ? o.whole : 0;
     }
     const double missing = item.step->count - held_tasks(item.ref);
-    const bool reached = within_reach >= m_settings.gang_candidate_factor * item.step->count;
+    const bool reached = expected_slots >= m_settings.gang_candidate_factor * item.step->count;
     // Unless unknown hosts have enough free capacity now.
-    if (!short_of_hosts && reached && unknown_free < missing * spare_factor)
+    if (!short_of_hosts && reached && unknown_free < missing * overquery_factor)
     {
         return false;
     }
@@ -410,28 +410,29 @@
                std::make_tuple(b.slots, b.whole, b.worker->id);
     };
     std::make_heap(unknown.begin(), unknown.end(), has_less_capacity);
-    double now_free = 0;
+    double expected_free_slots = 0;
     for (auto end = unknown.end(); end != unknown.begin(); --end)
     {
         std::pop_heap(unknown.begin(), end, has_less_capacity);
         const offer& o = *std::prev(end);
         const bool newly_reached =
-            !reached && within_reach >= m_settings.gang_candidate_factor * item.step->count;
-        const bool enough = !short_of_hosts && (newly_reached || now_free >= missing * spare_factor);
-        if ((enough && asked.size() >= least_asked) || asked.size() >= max_workers_per_question)
+            !reached && expected_slots >= m_settings.gang_candidate_factor * item.step->count;
+        const bool enough =
+            !short_of_hosts && (newly_reached || expected_free_slots >= missing * overquery_factor);
+        if ((enough && asked.size() >= min_queried_workers) || asked.size() >= max_workers_per_question)
         {
             break;
         }
         asked.push_back(o.worker->id);
-        now_free += share * o.slots;
-        within_reach += share * o.whole;
+        expected_free_slots += share * o.slots;
+        expected_slots += share * o.whole;
     }
     // Split into concurrent queries, as a query takes longer the more workers it names.
-    for (std::size_t begin = 0; begin < asked.size(); begin += learning_question)
+    for (std::size_t begin = 0; begin < asked.size(); begin += workers_per_query)
     {
         const auto first = asked.begin() + static_cast<std::ptrdiff_t>(begin);
         const auto last =
-            asked.begin() + static_cast<std::ptrdiff_t>(std::min(begin + learning_question, asked.size()));
+            asked.begin() + static_cast<std::ptrdiff_t>(std::min(begin + workers_per_query, asked.size()));
         send_advisor_query(item, {first, last}, item.urgent(), now);
     }
     return !asked.empty();
--- a/src/dispatch/dispatcher_losses.cpp
+++ b/src/dispatch/dispatcher_losses.cpp
@@ -13,25 +13,25 @@
 // A worker that does not answer, not even on a new connection, may have crashed. Replicates the last known
 // state of its runs: a leader that takes over before the crash is established could not tell the run that
 // caused it from its neighbours or from runs that never started.
-void dispatcher::keep_last_word(worker_view& view, monotonic_time now)
+void dispatcher::save_last_known_runs(worker_view& view, monotonic_time now)
 {
     const worker_incarnation& worker = *m_state.find(view.id);
     if (!view.answered || view.runs.empty() || view.status_commit_pending || !worker.last_known_runs.empty())
     {
         return;
     }
-    record_last_word(view, runs_known_on(view, now));
+    propose_last_known_runs(view, runs_known_on(view, now));
 }
 
-void dispatcher::forget_last_word(worker_view& view)
+void dispatcher::clear_last_known_runs(worker_view& view)
 {
     if (!view.status_commit_pending && !m_state.find(view.id)->last_known_runs.empty())
     {
-        record_last_word(view, {});
+        propose_last_known_runs(view, {});
     }
 }
 
-void dispatcher::record_last_word(worker_view& view, std::vector<lost_run> runs)
+void dispatcher::propose_last_known_runs(worker_view& view, std::vector<lost_run> runs)
 {
     view.status_commit_pending = true;
     m_hooks.propose(record_last_known_runs{view.id, std::move(runs)},
@@ -85,7 +85,7 @@
     }
     for (lost_run& item : lost)
     {
-        item.began = item.began && !may_have_broken_before(item.run, lost_since(view, now), view.id);
+        item.began = item.began && !gang_may_have_broken_earlier(item.run, lost_since(view, now), view.id);
     }
     return lost;
 }
@@ -93,8 +93,8 @@
 // Whether a run of a gang may have ended before its host was lost, because another member was lost first. The
 // members of a gang end as soon as one of them is lost, so of several hosts lost under one run only the first
 // still had running members. A host that reported the end of its own member was lost later.
-bool dispatcher::may_have_broken_before(const run_ref& run, monotonic_time lost_at,
-                                        worker_incarnation_id lost_with) const
+bool dispatcher::gang_may_have_broken_earlier(const run_ref& run, monotonic_time lost_at,
+                                              worker_incarnation_id lost_with) const
 {
     const step_spec* step = m_state.find(run.task.step);
     for (std::uint32_t index = 0; step != nullptr && step->gang && index < step->count; ++index)
@@ -103,7 +103,7 @@
         const work_task* known = m_state.find(member.task);
         const bool elsewhere = known != nullptr && known->worker != lost_with;
         if (elsewhere && !known->broke(run.run) &&
-            !(known->is_active(run.run) && outlived(member, known->worker, lost_at)))
+            !(known->is_active(run.run) && responded_since(member, known->worker, lost_at)))
         {
             return true;
         }
@@ -112,7 +112,7 @@
 }
 
 // Whether the incarnation that a run was started on has answered since `then`.
-bool dispatcher::outlived(const run_ref& run, worker_incarnation_id worker, monotonic_time then) const
+bool dispatcher::responded_since(const run_ref& run, worker_incarnation_id worker, monotonic_time then) const
 {
     const worker_incarnation* incarnation = m_state.find(worker);
     const auto view = m_views.find(worker);
@@ -129,8 +129,7 @@
 
 // Logs each run lost with a worker and the data that decides whether it becomes a crash suspect: one line per
 // run, a few dozen at most.
-void dispatcher::note_lost_runs(const worker_view& view, const std::vector<lost_run>& lost,
-                                monotonic_time now)
+void dispatcher::log_lost_runs(const worker_view& view, const std::vector<lost_run>& lost, monotonic_time now)
 {
     for (const lost_run& item : lost)
     {
@@ -151,10 +150,10 @@
     }
 }
 
-void dispatcher::note_verdicts(monotonic_time now)
+void dispatcher::log_poison_tasks(monotonic_time now)
 {
     const crash_evidence_table& crashes = m_state.crashes();
-    const std::uint64_t fresh = crashes.poison_task_count() - m_verdicts_noted;
+    const std::uint64_t fresh = crashes.poison_task_count() - m_poison_tasks_logged;
     const auto& kept = crashes.poison_tasks();
     for (std::size_t i = kept.size() - std::min<std::size_t>(fresh, kept.size()); i < kept.size(); ++i)
     {
@@ -166,11 +165,11 @@
                    {"blame", kept[i].against.blame},
                    {"last_host", kept[i].last_host}});
     }
-    m_verdicts_noted = crashes.poison_task_count();
+    m_poison_tasks_logged = crashes.poison_task_count();
 }
 
 // An incarnation dropped only because it was unresponsive may come back, unless `for_good` is set.
-void dispatcher::drop_worker_life(worker_view& view, std::string_view reason, bool for_good,
+void dispatcher::drop_incarnation(worker_view& view, std::string_view reason, bool for_good,
                                   monotonic_time now)
 {
     if (view.drop_proposed)
@@ -180,7 +179,7 @@
     view.drop_proposed = true;
     ++m_counters.lost_workers;
     const std::vector<lost_run> lost = runs_lost_with(view, now);
-    note_lost_runs(view, lost, now);
+    log_lost_runs(view, lost, now);
     for (const lost_run& item : lost)
     {
         m_suspects.record_loss(item.run.task, now);
--- a/src/dispatch/dispatcher_orders.cpp
+++ b/src/dispatch/dispatcher_orders.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 constexpr duration stop_retry = milliseconds(250); // before an unanswered stop is resent
-constexpr double stuck_factor = 3.0;               // times the expected run time without progress: stalled
+constexpr double stall_factor = 3.0;               // times the expected run time without progress: stalled
 } // namespace
 
 // ---------------------------------------------------------------------------------------------------------
@@ -26,8 +26,8 @@
 }
 
 // Sends the committed starts. Sends none of a gang if any of its members may no longer start.
-void dispatcher::send_recorded(const record_starts& recorded, const std::vector<std::string>& tickets,
-                               monotonic_time now)
+void dispatcher::send_recorded_starts(const record_starts& recorded, const std::vector<std::string>& tickets,
+                                      monotonic_time now)
 {
     const auto may_start = [this](const planned_start& planned)
     {
@@ -148,13 +148,13 @@
     }
     if (surely_not_executed(answer.outcome))
     {
-        note_unsent_call(*view, answer.outcome, now);
-        take_unsent_start(*view, run, answer.outcome, now);
+        record_unsent_call(*view, answer.outcome, now);
+        handle_unsent_start(*view, run, answer.outcome, now);
         return;
     }
     if (answer.outcome == order_outcome::wrong_incarnation)
     {
-        drop_replaced(*view, now);
+        drop_replaced_worker(*view, now);
         return;
     }
     ++m_counters.refused_starts;
@@ -183,8 +183,8 @@
 // sent, the task may go to another worker after a few failures to send, without waiting for the lease of an
 // unresponsive worker to expire; a single task may do so at once if the address refuses connections. A gang
 // is retried, as its other members have already started.
-void dispatcher::take_unsent_start(worker_view& view, const run_ref& run, order_outcome outcome,
-                                   monotonic_time now)
+void dispatcher::handle_unsent_start(worker_view& view, const run_ref& run, order_outcome outcome,
+                                     monotonic_time now)
 {
     run_view& known = view.runs.at(run);
     const step_spec* step = m_state.find(run.task.step);
@@ -215,7 +215,7 @@
                         if (later != nullptr && committed)
                         {
                             later->runs.erase(run);
-                            m_news.note(worker);
+                            m_freed_hosts.note(worker);
                             stop_rest_of_gang(run, m_hooks.now());
                             m_hooks.wake();
                         }
@@ -301,24 +301,24 @@
         }
         if (!view->has_pending_stops() && !view->poll_in_flight && !view->ends_commit_pending)
         {
-            look_at(*view, now); // runs it does not list now never started there
+            poll_worker(*view, now); // runs it does not list now never started there
         }
         return;
     }
     if (answer.outcome == order_outcome::wrong_incarnation)
     {
-        drop_replaced(*view, now);
+        drop_replaced_worker(*view, now);
         return;
     }
     if (surely_not_executed(answer.outcome))
     {
-        note_unsent_call(*view, answer.outcome, now);
+        record_unsent_call(*view, answer.outcome, now);
     }
     known.stop_retry = now + stop_retry;
 }
 
 // A refused connection makes the worker suspected, whichever call it was for; a poll confirms or clears that.
-void dispatcher::note_unsent_call(worker_view& view, order_outcome outcome, monotonic_time now)
+void dispatcher::record_unsent_call(worker_view& view, order_outcome outcome, monotonic_time now)
 {
     view.contact.record_failure(outcome, now);
     if (outcome == order_outcome::unreachable)
@@ -376,7 +376,7 @@
 
 // Stops stalled runs so that they start elsewhere, and avoids their worker for a while. Also stops runs with
 // checkpoints on workers that are about to leave.
-void dispatcher::watch_runs(monotonic_time now)
+void dispatcher::check_stalled_runs(monotonic_time now)
 {
     for (auto& [id, view] : m_views)
     {
@@ -396,7 +396,7 @@
             const step_spec& step = *spec;
             const bool leaving =
                 view.draining && step.checkpoints && view.leaves_at - now < m_settings.drain_stop_lead;
-            const double expected = m_objectives.expected_ms(owner->queue, step) * stuck_factor;
+            const double expected = m_objectives.expected_ms(owner->queue, step) * stall_factor;
             const duration stall_limit = std::max<duration>(
                 m_settings.stall_timeout, milliseconds(static_cast<std::int64_t>(expected)));
             const bool paced = known.pace < 100; // throttled by this leader, so no progress is expected
--- a/src/dispatch/dispatcher_place.cpp
+++ b/src/dispatch/dispatcher_place.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 // Interval of full scans for a waiting step: a host may become eligible again without capacity being freed.
-constexpr duration look_at_all_again = milliseconds(100);
+constexpr duration full_scan_interval = milliseconds(100);
 
 std::uint32_t count_slots(const resources& need, const resources& room)
 {
@@ -69,10 +69,10 @@
 // The number of tasks of a step that the quota of its organisation still permits; for a gang all or none.
 std::uint32_t dispatcher::permitted_tasks(const candidate& item) const
 {
-    const auto planned = m_planned_by.find(item.owner->organisation);
+    const auto planned = m_planned_by_organisation.find(item.owner->organisation);
     const std::uint32_t places =
         m_state.quotas().places(item.owner->organisation, item.step->size,
-                                planned == m_planned_by.end() ? resources{} : planned->second);
+                                planned == m_planned_by_organisation.end() ? resources{} : planned->second);
     return item.step->gang && places < item.step->count ? 0 : places;
 }
 
@@ -101,7 +101,8 @@
 
 // Capacity that a step may use on a host. Held capacity counts for the gang that holds it, for urgent and
 // long-running work if nothing else is free, and for runs that end before a reservation is due.
-resources dispatcher::room_for(const candidate& item, const host_row& row, monotonic_time now) const
+resources dispatcher::available_resources(const candidate& item, const host_row& row,
+                                          monotonic_time now) const
 {
     if (item.urgent() || item.step->long_running)
     {
@@ -126,7 +127,7 @@
 }
 
 // Takes the median of the faster half, so that up to a third of slow hosts does not lower it.
-void dispatcher::learn_usual_speed()
+void dispatcher::update_typical_speed()
 {
     std::vector<double> speeds;
     speeds.reserve(m_views.size());
@@ -140,7 +141,7 @@
     }
     const auto at = speeds.begin() + static_cast<std::ptrdiff_t>(speeds.size() * 3 / 4);
     std::nth_element(speeds.begin(), at, speeds.end());
-    m_usual_speed = *at;
+    m_typical_speed = *at;
 }
 
 bool dispatcher::is_eligible(const candidate& item, const host_row& row) const
@@ -181,11 +182,11 @@
             return true; // nothing is known until the first query is answered
         }
     }
-    return item.step->gang ? place_gang(item, now) : place_each(item, now);
+    return item.step->gang ? place_gang(item, now) : place_individually(item, now);
 }
 
 // Workers on which tasks of this step failed are excluded as long as enough others can take it.
-std::set<worker_incarnation_id> dispatcher::failed_before(const candidate& item)
+std::set<worker_incarnation_id> dispatcher::workers_with_failures(const candidate& item)
 {
     const auto& tasks = item.owner->rounds[item.ref.round.value()].steps[item.ref.step].tasks;
     std::set<worker_incarnation_id> failed;
@@ -224,13 +225,13 @@
 // last if they have not answered since another host of their rack was suspected, or for longer than a poll is
 // held open. Tasks lost with a host prefer the hosts with the latest contact, as waiting for a second lease
 // to expire would double their delay.
-int dispatcher::doubt_about(const candidate& item, const host_row& row, monotonic_time now) const
+int dispatcher::suspicion_penalty(const candidate& item, const host_row& row, monotonic_time now) const
 {
     constexpr int most = 1000;
     constexpr milliseconds step{100};
     const auto& labels = row.worker->description.labels;
-    const auto rack = labels.empty() ? m_doubted_racks.end() : m_doubted_racks.find(labels.back());
-    const bool rack_lost = rack != m_doubted_racks.end() && rack->second > row.view->contact.last_heard();
+    const auto rack = labels.empty() ? m_suspected_racks.end() : m_suspected_racks.find(labels.back());
+    const bool rack_lost = rack != m_suspected_racks.end() && rack->second > row.view->contact.last_heard();
     const duration unheard = row.view->contact.time_since_contact(now);
     if (rack_lost || unheard > m_settings.poll_wait + m_settings.poll_overdue)
     {
@@ -243,7 +244,7 @@
 {
     offer o;
     o.worker = row.worker;
-    o.room = room_for(item, row, now);
+    o.room = available_resources(item, row, now);
     o.slots = slots(item, row.worker->id, o.room);
     o.whole = o.room == row.worker->description.size
                   ? o.slots
@@ -253,13 +254,13 @@
                   std::find(labels.begin(), labels.end(), item.step->preferred_rack) != labels.end();
     o.ticket = ticket_for(item, row.worker->id, now);
     o.speed = row.view->speed;
-    o.slow = o.speed < m_settings.slow_speed_threshold * m_usual_speed;
+    o.slow = o.speed < m_settings.slow_speed_threshold * m_typical_speed;
     o.held = o.room != row.free;
     o.spares_large_slots = o.slots == 0 || !uses(mechanism::large_slots) ||
-                           keeps_large_slots(o.room, host_demand_of(*item.step));
+                           preserves_large_slots(o.room, host_demand_of(*item.step));
     o.watched = uses(mechanism::suspects_apart) &&
                 m_suspects.has_foreign_suspect(row.worker->id, item.ref.submission, now);
-    o.contact_penalty = doubt_about(item, row, now);
+    o.contact_penalty = suspicion_penalty(item, row, now);
     o.mixes_serving_and_filling = (item.step->fills && row.view->serving > 0) ||
                                   (item.step->latency_target_ms > 0 && row.view->filling > 0);
     return o;
@@ -268,7 +269,7 @@
 // All workers that are eligible for the step, whether or not they have free capacity now.
 std::vector<dispatcher::offer> dispatcher::find_offers(const candidate& item, monotonic_time now)
 {
-    const std::set<worker_incarnation_id> failed = failed_before(item);
+    const std::set<worker_incarnation_id> failed = workers_with_failures(item);
     std::vector<offer> offers;
     offers.reserve(m_hosts.size());
     for (std::size_t place = 0; place < m_hosts.size(); ++place)
@@ -282,7 +283,7 @@
     return offers;
 }
 
-bool dispatcher::surely_good(const candidate& item, worker_incarnation_id worker)
+bool dispatcher::is_approved(const candidate& item, worker_incarnation_id worker)
 {
     if (item.queue == nullptr || !item.queue->advised)
     {
@@ -294,14 +295,14 @@
 }
 
 // Workers that the advisor has approved for the step, whether or not their tickets are still valid.
-std::vector<dispatcher::offer> dispatcher::find_good_offers(const candidate& item, monotonic_time now)
+std::vector<dispatcher::offer> dispatcher::find_approved_offers(const candidate& item, monotonic_time now)
 {
     if (item.queue == nullptr || !item.queue->advised)
     {
         return find_offers(item, now);
     }
     std::vector<offer> offers;
-    const std::set<worker_incarnation_id> failed = failed_before(item);
+    const std::set<worker_incarnation_id> failed = workers_with_failures(item);
     for (const auto& [id, entry] : m_advice.of(item.ref).entries)
     {
         const host_row* row = entry.good && !failed.contains(id) ? m_hosts.find(id) : nullptr;
@@ -314,9 +315,9 @@
 }
 
 // Workers that can take a task of the step now: they have free slots, and a valid ticket if one is needed.
-std::vector<dispatcher::offer> dispatcher::find_open_offers(const candidate& item, monotonic_time now)
+std::vector<dispatcher::offer> dispatcher::find_startable_offers(const candidate& item, monotonic_time now)
 {
-    std::vector<offer> offers = find_good_offers(item, now);
+    std::vector<offer> offers = find_approved_offers(item, now);
     std::erase_if(offers,
                   [](const offer& o)
                   {
@@ -326,7 +327,7 @@
 }
 
 // Whether a host could still take as many large tasks, such as those of gangs, after starting this one.
-bool dispatcher::keeps_large_slots(const resources& room, const resources& need) const
+bool dispatcher::preserves_large_slots(const resources& room, const resources& need) const
 {
     return count_slots(m_large_task, room) == count_slots(m_large_task, room - need);
 }
@@ -336,25 +337,26 @@
 // ---------------------------------------------------------------------------------------------------------
 
 // Whether all hosts were scanned for the step a moment ago and had too little free capacity.
-bool dispatcher::looked_at_lately(const candidate& item, monotonic_time now) const
+bool dispatcher::recently_scanned(const candidate& item, monotonic_time now) const
 {
     const auto waits = m_waiting.find(item.ref);
-    return !item.has_priority() && waits != m_waiting.end() && now < waits->second.look_again;
+    return !item.has_priority() && waits != m_waiting.end() && now < waits->second.next_full_scan;
 }
 
 // Only considers hosts on which capacity became free since the step's last scan, as the others had none for
 // it. With hundreds of waiting steps, scanning all their hosts each time would take most of a core.
-std::vector<dispatcher::offer> dispatcher::find_new_offers(const candidate& item, monotonic_time now)
+std::vector<dispatcher::offer> dispatcher::find_offers_on_freed_hosts(const candidate& item,
+                                                                      monotonic_time now)
 {
-    const auto news = m_news.since(m_waiting.at(item.ref).seen);
+    const auto news = m_freed_hosts.since(m_waiting.at(item.ref).seen);
     if (!news)
     {
-        return find_open_offers(item, now);
+        return find_startable_offers(item, now);
     }
     std::vector<offer> offers;
     for (const worker_incarnation_id id : *news)
     {
-        const host_row* row = surely_good(item, id) ? m_hosts.find(id) : nullptr;
+        const host_row* row = is_approved(item, id) ? m_hosts.find(id) : nullptr;
         if (row == nullptr || !is_eligible(item, *row))
         {
             continue;
@@ -366,7 +368,7 @@
         }
     }
     const std::set<worker_incarnation_id> failed =
-        offers.empty() ? std::set<worker_incarnation_id>{} : failed_before(item);
+        offers.empty() ? std::set<worker_incarnation_id>{} : workers_with_failures(item);
     std::erase_if(offers,
                   [&failed](const offer& o)
                   {
@@ -376,9 +378,9 @@
 }
 
 // Chooses a host for each waiting task. Adds the number of tasks without a host to `left`.
-void dispatcher::plan_each(const candidate& item, std::vector<offer>& offers,
-                           std::vector<planned_start>& starts, std::vector<std::string>& tickets,
-                           std::uint32_t& left) const
+void dispatcher::plan_tasks(const candidate& item, std::vector<offer>& offers,
+                            std::vector<planned_start>& starts, std::vector<std::string>& tickets,
+                            std::uint32_t& left) const
 {
     const auto& tasks = item.owner->rounds[item.ref.round.value()].steps[item.ref.step].tasks;
     auto fit = offers.begin();
@@ -408,11 +410,12 @@
     }
 }
 
-bool dispatcher::place_each(const candidate& item, monotonic_time now)
+bool dispatcher::place_individually(const candidate& item, monotonic_time now)
 {
-    const bool scanned_recently = looked_at_lately(item, now);
-    const std::uint64_t news = m_news.position();
-    std::vector<offer> offers = scanned_recently ? find_new_offers(item, now) : find_open_offers(item, now);
+    const bool scanned_recently = recently_scanned(item, now);
+    const std::uint64_t news = m_freed_hosts.position();
+    std::vector<offer> offers =
+        scanned_recently ? find_offers_on_freed_hosts(item, now) : find_startable_offers(item, now);
     if (scanned_recently && offers.empty())
     {
         m_waiting.at(item.ref).seen = news;
@@ -437,9 +440,9 @@
     std::vector<planned_start> starts;
     std::vector<std::string> tickets;
     std::uint32_t left = 0;
-    const bool suspects_wait =
-        !m_state.crashes().suspects().empty() && plan_suspects(item, offers, starts, tickets, left, now);
-    plan_each(item, offers, starts, tickets, left);
+    const bool suspects_wait = !m_state.crashes().suspects().empty() &&
+                               plan_crash_suspects(item, offers, starts, tickets, left, now);
+    plan_tasks(item, offers, starts, tickets, left);
     if (!starts.empty())
     {
         propose_starts(item, starts, tickets, now);
@@ -453,9 +456,9 @@
     waits.seen = news;
     if (!scanned_recently)
     {
-        waits.look_again = now + look_at_all_again;
+        waits.next_full_scan = now + full_scan_interval;
         reserve_hosts(item, left, now);
-        ask_advice(item, left, now);
+        query_advisor(item, left, now);
         preempt_for(item, left, now);
     }
     return !starts.empty();
--- a/src/dispatch/dispatcher_preempt.cpp
+++ b/src/dispatch/dispatcher_preempt.cpp
@@ -11,8 +11,9 @@
 
 namespace
 {
-constexpr double least_left_ms = 700; // runs that end sooner are not stopped: a stop takes up to 400 ms
-constexpr duration preempt_gap = milliseconds(600); // per step: time for a stop, the run's end and its commit
+constexpr double min_remaining_ms = 700; // runs that end sooner are not stopped: a stop takes up to 400 ms
+constexpr duration preemption_interval =
+    milliseconds(600); // per step: time for a stop, the run's end and its commit
 } // namespace
 
 // Only runs with checkpoints are preempted, as they lose little; others run to their end.
@@ -27,7 +28,7 @@
     const queue_spec* queue = m_state.find_queue(owner->queue);
     const bool lesser = queue != nullptr && item.queue != nullptr && queue->priority > item.queue->priority;
     const double left = m_objectives.expected_ms(owner->queue, *step) * (100.0 - known.percent) / 100.0;
-    return lesser && step->checkpoints && !step->gang && !step->long_running && left > least_left_ms;
+    return lesser && step->checkpoints && !step->gang && !step->long_running && left > min_remaining_ms;
 }
 
 void dispatcher::preempt_for(const candidate& item, std::uint32_t need, monotonic_time now)
@@ -36,14 +37,14 @@
         item.urgent() || (m_holds.contains(item.ref) &&
                           item.slack_ms < static_cast<double>(m_settings.gang_preempt_slack.count()));
     if (!uses(mechanism::preemption) || item.missed() || !pressing ||
-        now < m_preempted[item.ref] + preempt_gap)
+        now < m_last_preemption[item.ref] + preemption_interval)
     {
         return;
     }
-    m_preempted[item.ref] = now;
+    m_last_preemption[item.ref] = now;
     const resources room = host_demand_of(*item.step);
     std::uint32_t found = 0;
-    std::vector<offer> offers = find_good_offers(item, now);
+    std::vector<offer> offers = find_approved_offers(item, now);
     std::sort(offers.begin(), offers.end(),
               [](const offer& a, const offer& b)
               {
--- a/src/dispatch/dispatcher_reports.cpp
+++ b/src/dispatch/dispatcher_reports.cpp
@@ -14,7 +14,7 @@
     if (known != nullptr && !known->assumed && known->description == report.description)
     {
         sync_views(now);
-        take_known_report(m_views[known->id], report, now);
+        handle_known_report(m_views[known->id], report, now);
         record_leaving(*known, report, done);
         return;
     }
@@ -27,14 +27,14 @@
         done(true);
         return;
     }
-    if (lacks_birth(report))
+    if (lacks_start_time(report))
     {
         log_event(now, "report_not_taken", report.description.id,
                   {{"reason", "process start time missing"}, {"address", report.description.address}});
         done(false);
         return;
     }
-    if (!names_known_pool(report))
+    if (!has_known_pool(report))
     {
         log_event(now, "report_not_taken", report.description.id,
                   {{"reason", "unknown pool"},
@@ -43,7 +43,7 @@
         done(false); // the worker keeps reporting, so its pool may be configured later
         return;
     }
-    if (!m_joining.insert(report.description.host).second)
+    if (!m_admitting_hosts.insert(report.description.host).second)
     {
         done(false); // a report of this host is already in progress; the worker reports again
         return;
@@ -51,7 +51,7 @@
     const worker_incarnation* present = m_state.find_host(report.description.host);
     if (known == nullptr && present != nullptr)
     {
-        ask_who_lives_there(report, present->id, done);
+        verify_incarnation(report, present->id, done);
         return;
     }
     admit(report, {}, done);
@@ -59,7 +59,7 @@
 
 // Whether a report lacks the process start time although workers here send one: then it does not come from a
 // worker of this cell. Either all workers send it or none, so it is enough to check one of them.
-bool dispatcher::lacks_birth(const worker_report& report) const
+bool dispatcher::lacks_start_time(const worker_report& report) const
 {
     const auto& workers = m_state.workers();
     return report.description.process_start == process_start_ms{} && !workers.empty() &&
@@ -68,7 +68,7 @@
 
 // Accepts any pool until there is a cluster configuration, so that workers that report early are known when
 // work arrives.
-bool dispatcher::names_known_pool(const worker_report& report) const
+bool dispatcher::has_known_pool(const worker_report& report) const
 {
     const auto& held = m_state.current_configuration();
     return !held || std::any_of(held->pools.begin(), held->pools.end(),
@@ -78,7 +78,7 @@
                                 });
 }
 
-void dispatcher::take_known_report(worker_view& view, const worker_report& report, monotonic_time now)
+void dispatcher::handle_known_report(worker_view& view, const worker_report& report, monotonic_time now)
 {
     view.reported = true;
     if (report.sequence >= view.sequence)
@@ -136,8 +136,8 @@
 // started on the host, so the order of arrival does not tell which is newer. Polls the reported address to
 // find out which incarnation runs there before the work of the known one is given up: otherwise that work ran
 // twice.
-void dispatcher::ask_who_lives_there(const worker_report& report, worker_incarnation_id present,
-                                     const std::function<void(bool)>& done)
+void dispatcher::verify_incarnation(const worker_report& report, worker_incarnation_id present,
+                                    const std::function<void(bool)>& done)
 {
     poll_order question;
     question.to = {worker_incarnation_id{}, report.description.id, report.description.process_start,
@@ -160,7 +160,7 @@
                          admit(report, answer, done);
                          return;
                      }
-                     m_joining.erase(report.description.host);
+                     m_admitting_hosts.erase(report.description.host);
                      log_event(m_hooks.now(), "report_not_taken", report.description.id,
                                {{"host", report.description.host},
                                 {"address", report.description.address},
@@ -182,14 +182,14 @@
     admit_worker command{report.description, report.sequence, false, {}};
     if (former != nullptr && present->description.id == report.description.id)
     {
-        note_restart(*former, report.description.process_start, "report", m_hooks.now());
+        log_restart(*former, report.description.process_start, "report", m_hooks.now());
         former->drop_proposed = true;
-        command.lost = lost_at_restart(*former, answer, m_hooks.now());
-        note_lost_runs(*former, command.lost, m_hooks.now());
+        command.lost = runs_lost_at_restart(*former, answer, m_hooks.now());
+        log_lost_runs(*former, command.lost, m_hooks.now());
     }
     else if (former != nullptr)
     {
-        drop_replaced(*former, m_hooks.now());
+        drop_replaced_worker(*former, m_hooks.now());
     }
     const worker_incarnation_id before = former == nullptr ? worker_incarnation_id{} : former->id;
     m_hooks.propose(command,
@@ -200,8 +200,8 @@
                             done(false);
                             return;
                         }
-                        m_joining.erase(report.description.host);
-                        look_at_new_life(report.description.incarnation(), m_hooks.now());
+                        m_admitting_hosts.erase(report.description.host);
+                        poll_new_incarnation(report.description.incarnation(), m_hooks.now());
                         if (worker_view* still = view_of(before); still != nullptr && !committed)
                         {
                             still->drop_proposed = false;
@@ -222,7 +222,7 @@
                     });
 }
 
-void dispatcher::take_leave(const std::string& id, const std::function<void(bool)>& done)
+void dispatcher::handle_leave(const std::string& id, const std::function<void(bool)>& done)
 {
     const worker_incarnation* known = m_state.find_id(id);
     if (known == nullptr)
--- a/src/dispatch/dispatcher_reserve.cpp
+++ b/src/dispatch/dispatcher_reserve.cpp
@@ -13,13 +13,14 @@
 namespace
 {
 // A task is large if no more than this many fit on an empty host; smaller ones fit as soon as others end.
-constexpr std::uint32_t most_large_per_host = 2;
-constexpr std::size_t most_reserved_late = 1; // hosts reserved at a time for tasks that will be late anyway
+constexpr std::uint32_t max_large_tasks_per_host = 2;
+constexpr std::size_t max_reserved_hosts_for_late =
+    1; // hosts reserved at a time for tasks that will be late anyway
 } // namespace
 
 // Expected remaining time of a run, from its estimate and reported progress; none if it does not end by
 // itself.
-std::optional<double> dispatcher::expected_left_ms(const run_ref& run, const run_view& known) const
+std::optional<double> dispatcher::expected_remaining_ms(const run_ref& run, const run_view& known) const
 {
     const submission* owner = m_state.find(run.task.step.submission);
     const step_spec* step = m_state.find(run.task.step);
@@ -30,7 +31,7 @@
     return m_objectives.expected_ms(owner->queue, *step) * (100.0 - known.percent) / 100.0;
 }
 
-std::optional<double> dispatcher::time_until_room_on(const candidate& item, const offer& o) const
+std::optional<double> dispatcher::time_until_task_fits(const candidate& item, const offer& o) const
 {
     return time_until_fit(o.room, forecast_runs(o), host_demand_of(*item.step));
 }
@@ -44,7 +45,7 @@
     {
         const auto known = view.runs.find(run);
         runs.push_back(
-            {room, known == view.runs.end() ? std::nullopt : expected_left_ms(run, known->second)});
+            {room, known == view.runs.end() ? std::nullopt : expected_remaining_ms(run, known->second)});
     }
     return runs;
 }
@@ -63,11 +64,11 @@
     return count;
 }
 
-std::size_t dispatcher::most_reserved(const candidate& item)
+std::size_t dispatcher::max_reserved_hosts(const candidate& item)
 {
     if (item.missed())
     {
-        return most_reserved_late;
+        return max_reserved_hosts_for_late;
     }
     const std::size_t pool = m_hosts.usable_in(item.pool);
     return std::max<std::size_t>(
@@ -89,21 +90,21 @@
         double wait_ms;
     };
     const auto before = m_holds.find(item.ref);
-    const std::size_t max_hosts = most_reserved(item);
+    const std::size_t max_hosts = max_reserved_hosts(item);
     const std::size_t others = reserved_hosts(item);
     if (others >= max_hosts && before == m_holds.end())
     {
         return;
     }
     std::vector<place> places;
-    for (const offer& o : find_good_offers(item, now))
+    for (const offer& o : find_approved_offers(item, now))
     {
-        if (o.whole == 0 || o.whole > most_large_per_host)
+        if (o.whole == 0 || o.whole > max_large_tasks_per_host)
         {
             continue;
         }
         const bool kept = before != m_holds.end() && before->second.tasks.contains(o.worker->id);
-        const std::optional<double> wait = time_until_room_on(item, o);
+        const std::optional<double> wait = time_until_task_fits(item, o);
         if (wait)
         {
             places.push_back({o, kept, *wait});
@@ -130,10 +131,10 @@
     if (next.total == 0)
     {
         drop_hold(item.ref);
-        learn_large_hosts(item, now);
+        query_large_hosts(item, now);
         return;
     }
-    learn_large_task(item);
+    update_large_task_size(item);
     if (before == m_holds.end())
     {
         log_event(now, "hosts_reserved", name_of(item.ref),
@@ -145,7 +146,7 @@
     }
     std::vector<worker_incarnation_id> soon = hosts_soon_free(item, next, now);
     set_hold(item.ref, std::move(next));
-    if (may_ask(item, true, now))
+    if (may_query_advisor(item, true, now))
     {
         send_advisor_query(item, soon, true, now);
     }
@@ -165,12 +166,12 @@
     const double question_ms = terms.decision_ms + terms.each_ms;
     const auto lasts = milliseconds(static_cast<std::int64_t>(question_ms)) + m_settings.ticket_margin;
     const step_advice& known = m_advice.of(item.ref);
-    for (const offer& o : find_good_offers(item, now))
+    for (const offer& o : find_approved_offers(item, now))
     {
         const auto entry = known.entries.find(o.worker->id);
         const bool has = entry != known.entries.end() && m_advice.usable(entry->second, now, lasts);
         const std::optional<double> wait =
-            hold.tasks.contains(o.worker->id) && !has ? time_until_room_on(item, o) : std::nullopt;
+            hold.tasks.contains(o.worker->id) && !has ? time_until_task_fits(item, o) : std::nullopt;
         if (wait && *wait <= question_ms)
         {
             soon.push_back(o.worker->id);
@@ -180,9 +181,9 @@
 }
 
 // If no approved host can be reserved, queries the advisor about other hosts, whatever is free there now.
-void dispatcher::learn_large_hosts(const candidate& item, monotonic_time now)
+void dispatcher::query_large_hosts(const candidate& item, monotonic_time now)
 {
-    if (item.queue == nullptr || !item.queue->advised || !may_ask(item, false, now))
+    if (item.queue == nullptr || !item.queue->advised || !may_query_advisor(item, false, now))
     {
         return;
     }
@@ -190,7 +191,7 @@
     std::vector<worker_incarnation_id> unknown;
     for (const offer& o : find_offers(item, now))
     {
-        const bool large = o.whole > 0 && o.whole <= most_large_per_host;
+        const bool large = o.whole > 0 && o.whole <= max_large_tasks_per_host;
         if (large && !known.entries.contains(o.worker->id) && unknown.size() < max_workers_per_question)
         {
             unknown.push_back(o.worker->id);
--- a/src/dispatch/dispatcher_restarts.cpp
+++ b/src/dispatch/dispatcher_restarts.cpp
@@ -9,8 +9,8 @@
 namespace walkthread
 {
 
-void dispatcher::note_restart(const worker_view& former, process_start_ms process_start,
-                              std::string_view from, monotonic_time now)
+void dispatcher::log_restart(const worker_view& former, process_start_ms process_start, std::string_view from,
+                             monotonic_time now)
 {
     ++m_counters.restarted_workers;
     const worker_incarnation& worker = *m_state.find(former.id);
@@ -26,17 +26,18 @@
 
 // A new incarnation answers under the id of the known one. It is admitted with the known description of its
 // host, so that its runs and their ends are recorded; new work goes there once it has reported.
-void dispatcher::take_restart(worker_view& view, const poll_answer& answer, monotonic_time now)
+void dispatcher::handle_restart(worker_view& view, const poll_answer& answer, monotonic_time now)
 {
     if (view.drop_proposed)
     {
         return;
     }
     view.drop_proposed = true;
-    note_restart(view, answer.process_start, "look", now);
-    admit_worker command{m_state.find(view.id)->description, 0, true, lost_at_restart(view, answer, now)};
+    log_restart(view, answer.process_start, "look", now);
+    admit_worker command{m_state.find(view.id)->description, 0, true,
+                         runs_lost_at_restart(view, answer, now)};
     command.description.process_start = answer.process_start;
-    note_lost_runs(view, command.lost, now);
+    log_lost_runs(view, command.lost, now);
     m_hooks.propose(command,
                     [this, alive = m_alive, former = view.id,
                      incarnation = command.description.incarnation()](bool committed)
@@ -48,27 +49,27 @@
                         }
                         if (*alive)
                         {
-                            look_at_new_life(incarnation, m_hooks.now());
+                            poll_new_incarnation(incarnation, m_hooks.now());
                             m_hooks.wake();
                         }
                     });
 }
 
 // Polls a new incarnation at once, while the view of the former one still exists to carry state over from.
-void dispatcher::look_at_new_life(const worker_incarnation_ref& incarnation, monotonic_time now)
+void dispatcher::poll_new_incarnation(const worker_incarnation_ref& incarnation, monotonic_time now)
 {
     sync_views(now);
     const worker_incarnation* admitted = m_state.find_incarnation(incarnation);
     worker_view* view = admitted == nullptr ? nullptr : view_of(admitted->id);
     if (view != nullptr && !view->poll_in_flight && !view->answered)
     {
-        look_at(*view, now);
+        poll_worker(*view, now);
     }
 }
 
 // Runs that ended with the former incarnation: all it was ordered to run, except those the new one lists.
-std::vector<lost_run> dispatcher::lost_at_restart(const worker_view& former, const poll_answer& answer,
-                                                  monotonic_time now) const
+std::vector<lost_run> dispatcher::runs_lost_at_restart(const worker_view& former, const poll_answer& answer,
+                                                       monotonic_time now) const
 {
     std::vector<lost_run> lost = runs_lost_with(former, now);
     const auto is_there = [&answer](const lost_run& item)
@@ -86,7 +87,7 @@
 
 // A start order for the former incarnation that got no answer may still be carried out by this one, while
 // the same task is started elsewhere. Stops such runs to rule that out.
-void dispatcher::rule_out_late_starts(worker_view& view, monotonic_time now)
+void dispatcher::stop_possible_late_starts(worker_view& view, monotonic_time now)
 {
     std::vector<run_ref> open;
     for (const auto& [run, known] : view.runs)
--- a/src/dispatch/dispatcher_rests.cpp
+++ b/src/dispatch/dispatcher_rests.cpp
@@ -15,14 +15,14 @@
 
 // Where there are more workers than connections for polls, idle workers are polled rarely and keep no
 // connection: each poll would take one away from a worker that has work.
-bool dispatcher::may_rest(const worker_view& view) const
+bool dispatcher::may_poll_rarely(const worker_view& view) const
 {
     return m_views.size() > m_settings.poll_connections && view.runs.empty() &&
            view.unanswered_starts.empty();
 }
 
 // Unless the leader is partitioned, at least one worker answers within that time.
-duration dispatcher::longest_quiet() const
+duration dispatcher::max_expected_silence() const
 {
     const bool polled_rarely = m_views.size() > m_settings.poll_connections;
     return m_settings.silent_after() +
@@ -38,7 +38,7 @@
 }
 
 // Polls one idle worker, whose answer tells whether the leader is partitioned.
-void dispatcher::ask_a_resting_worker(monotonic_time now)
+void dispatcher::poll_one_idle_worker(monotonic_time now)
 {
     const auto idle_worker = std::find_if(m_views.begin(), m_views.end(),
                                           [now](const auto& item)
--- a/src/dispatch/dispatcher_sharing.cpp
+++ b/src/dispatch/dispatcher_sharing.cpp
@@ -13,9 +13,9 @@
 namespace
 {
 constexpr std::int32_t full_pace = 100; // percent
-constexpr std::int32_t least_pace = 10; // percent; paused below that, as a lower pace hardly disturbs less
-constexpr std::int32_t pace_gain = 10;  // percent, each time the tail latency has been low for a while
-constexpr double low_tail = 0.7;        // share of the latency target below which the pace may rise
+constexpr std::int32_t min_pace = 10;   // percent; paused below that, as a lower pace hardly disturbs less
+constexpr std::int32_t pace_increment = 10; // percent, each time the tail latency has been low for a while
+constexpr double low_tail_fraction = 0.7;   // share of the latency target below which the pace may rise
 } // namespace
 
 // Sets the pace of filling tasks from the tail latencies that serving tasks on the host report:
@@ -39,7 +39,7 @@
             ++view.serving;
             over = over || listed.figure > step->latency_target_ms;
             low = low && static_cast<double>(listed.figure) <
-                             low_tail * static_cast<double>(step->latency_target_ms);
+                             low_tail_fraction * static_cast<double>(step->latency_target_ms);
         }
     }
     if (view.filling == 0 || view.serving == 0)
@@ -56,7 +56,7 @@
         view.over_target_since.reset();
         if (low && now - view.pace_changed >= m_settings.pace_rise_interval)
         {
-            view.filler_pace = std::min(full_pace, view.filler_pace + pace_gain);
+            view.filler_pace = std::min(full_pace, view.filler_pace + pace_increment);
             view.pace_changed = now;
         }
     }
@@ -77,7 +77,7 @@
     else if (now - view.pace_changed >= m_settings.pace_settling_time)
     {
         const std::int32_t half = view.filler_pace / 2;
-        view.filler_pace = half < least_pace ? 0 : half;
+        view.filler_pace = half < min_pace ? 0 : half;
         view.pace_changed = now;
     }
 }
@@ -120,7 +120,7 @@
 }
 
 // Whether a long-running task may be stopped: not if its step already misses as many tasks as it may.
-bool dispatcher::may_end_lasting(const run_ref& run)
+bool dispatcher::may_stop_long_running(const run_ref& run)
 {
     const step_spec* step = m_state.find(run.task.step);
     if (step == nullptr || step->may_miss == 0)
@@ -131,12 +131,12 @@
     for (std::uint32_t index = 0; index < step->count; ++index)
     {
         const task_ref other{run.task.step, index};
-        away += index != run.task.index && !at_work(other) ? 1 : 0;
+        away += index != run.task.index && !at_full_pace(other) ? 1 : 0;
     }
     return away < step->may_miss;
 }
 
-bool dispatcher::at_work(const task_ref& ref)
+bool dispatcher::at_full_pace(const task_ref& ref)
 {
     const work_task* task = m_state.find(ref);
     worker_view* view = task == nullptr ? nullptr : view_of(task->worker);
--- a/src/dispatch/dispatcher_suspects.cpp
+++ b/src/dispatch/dispatcher_suspects.cpp
@@ -9,9 +9,9 @@
 
 // Places crash suspects where a crash would lose the least, and apart from those of other submissions. Adds
 // the number of tasks that fit nowhere to `left`. Returns true if a task has to wait for another reason.
-bool dispatcher::plan_suspects(const candidate& item, std::vector<offer>& offers,
-                               std::vector<planned_start>& starts, std::vector<std::string>& tickets,
-                               std::uint32_t& left, monotonic_time now) const
+bool dispatcher::plan_crash_suspects(const candidate& item, std::vector<offer>& offers,
+                                     std::vector<planned_start>& starts, std::vector<std::string>& tickets,
+                                     std::uint32_t& left, monotonic_time now) const
 {
     const auto& tasks = item.owner->rounds[item.ref.round.value()].steps[item.ref.step].tasks;
     bool must_wait = false;
@@ -34,7 +34,7 @@
         {
             room = room || o.slots > 0;
             const bool better =
-                best == nullptr || cost_of_suspect(item, o, now) < cost_of_suspect(item, *best, now);
+                best == nullptr || crash_suspect_cost(item, o, now) < crash_suspect_cost(item, *best, now);
             best = o.slots > 0 && !o.watched && better ? &o : best;
         }
         left += room ? 0 : 1;
@@ -51,8 +51,8 @@
 
 // Lower is better. Avoids hosts on which runs of other submissions have just started: after a crash it could
 // not be told which run caused it.
-std::tuple<int, bool, std::size_t> dispatcher::cost_of_suspect(const candidate& item, const offer& o,
-                                                               monotonic_time now) const
+std::tuple<int, bool, std::size_t> dispatcher::crash_suspect_cost(const candidate& item, const offer& o,
+                                                                  monotonic_time now) const
 {
     const worker_view& view = m_views.at(o.worker->id);
     const bool beside_recent_start = std::any_of(
--- a/src/dispatch/dispatcher_unheard.cpp
+++ b/src/dispatch/dispatcher_unheard.cpp
@@ -11,15 +11,15 @@
 
 // Hosts of a rack that loses power fail together, so a host that has not answered since another one of its
 // rack was suspected may be down as well.
-void dispatcher::find_doubted_racks()
+void dispatcher::find_suspected_racks()
 {
-    m_doubted_racks.clear();
+    m_suspected_racks.clear();
     for (const auto& [id, view] : m_views)
     {
         const worker_incarnation* worker = view.contact.doubted() ? m_state.find(id) : nullptr;
         if (worker != nullptr && !worker->description.labels.empty())
         {
-            monotonic_time& since = m_doubted_racks[worker->description.labels.back()];
+            monotonic_time& since = m_suspected_racks[worker->description.labels.back()];
             since = std::max(since, view.contact.doubted_since());
         }
     }
@@ -29,7 +29,7 @@
 void dispatcher::log_unresponsive_worker(monotonic_time now)
 {
     const worker_view* longest = nullptr;
-    m_unheard_runs = 0;
+    m_runs_on_unresponsive_workers = 0;
     for (const auto& [id, view] : m_views)
     {
         const worker_incarnation* worker = m_state.find(id);
@@ -38,7 +38,7 @@
         {
             continue;
         }
-        m_unheard_runs += worker->occupied.size();
+        m_runs_on_unresponsive_workers += worker->occupied.size();
         const bool longer = longest == nullptr || longest->contact.last_heard() > view.contact.last_heard();
         longest = longer ? &view : longest;
     }
@@ -50,10 +50,10 @@
     const failed_calls& failed = longest->contact.failed();
     log_event(now, "worker_unheard", worker.description.id,
               {{"unheard_ms", longest->contact.time_since_contact(now)},
-               {"kept_as", name_of(find_drop_blocker(*longest, m_hearing, now, m_settings))},
+               {"kept_as", name_of(find_drop_blocker(*longest, m_contact_history, now, m_settings))},
                {"runs", worker.occupied.size()},
                {"run", name_of(worker.occupied.begin()->first)},
-               {"runs_on_unheard_workers", m_unheard_runs},
+               {"runs_on_unheard_workers", m_runs_on_unresponsive_workers},
                {"answered_this_leader", longest->answered},
                {"not_sent", failed.not_sent},
                {"unreachable", failed.unreachable},
--- a/src/dispatch/dispatcher_waiting.cpp
+++ b/src/dispatch/dispatcher_waiting.cpp
@@ -12,24 +12,24 @@
 
 namespace
 {
-constexpr wall_ms told_after = 3000; // ms; in a mostly idle pool, work should have started by then
-constexpr duration told_every = seconds(1);
-constexpr std::size_t most_named = 4; // other gangs with holds named in one line
+constexpr wall_ms waiting_log_threshold = 3000; // ms; in a mostly idle pool, work should have started by then
+constexpr duration waiting_log_interval = seconds(1);
+constexpr std::size_t max_named_gangs = 4; // other gangs with holds named in one line
 } // namespace
 
 // Logs, at most once a second, the step that has waited longest and why no work goes to the hosts that have
 // free capacity for one of its tasks.
-void dispatcher::note_waiting(monotonic_time now, wall_ms wall)
+void dispatcher::log_waiting(monotonic_time now, wall_ms wall)
 {
-    if (now < m_waiting_due)
+    if (now < m_waiting_log_due)
     {
         return;
     }
-    m_waiting_due = now + told_every;
+    m_waiting_log_due = now + waiting_log_interval;
     log_unresponsive_worker(now);
     const submission* longest = nullptr;
     step_ref waiting;
-    wall_ms since = wall - told_after;
+    wall_ms since = wall - waiting_log_threshold;
     for (const step_ref& ref : m_state.ready())
     {
         const submission* owner = m_state.find(ref.submission);
@@ -43,17 +43,17 @@
     }
     if (longest != nullptr)
     {
-        note_waiting_step(waiting, *longest, wall - since, now);
+        log_waiting_step(waiting, *longest, wall - since, now);
     }
-    note_waiting_gang(now, wall);
+    log_waiting_gang(now, wall);
 }
 
 // Logs, at most once a second, the gang that has waited longest, the free slots of its approved hosts, and
 // other gangs that hold capacity.
-void dispatcher::note_waiting_gang(monotonic_time now, wall_ms wall)
+void dispatcher::log_waiting_gang(monotonic_time now, wall_ms wall)
 {
     std::optional<candidate> longest;
-    wall_ms since = wall - told_after;
+    wall_ms since = wall - waiting_log_threshold;
     for (const step_ref& ref : m_state.ready())
     {
         candidate item = make_candidate(ref);
@@ -75,7 +75,7 @@
     std::uint32_t free = 0;
     std::uint32_t open = 0;
     std::uint32_t whole = 0;
-    const std::vector<offer> good = find_good_offers(*longest, now);
+    const std::vector<offer> good = find_approved_offers(*longest, now);
     for (const offer& o : good)
     {
         const host_row& row = *m_hosts.find(o.worker->id);
@@ -88,12 +88,12 @@
     for (const auto& [ref, hold] : m_holds)
     {
         const bool is_gathering = hold.is_gathering && !(ref == longest->ref);
-        if (is_gathering && named++ < most_named)
+        if (is_gathering && named++ < max_named_gangs)
         {
             gathering.append(gathering.empty() ? 0 : 1, ' ').append(name_of(ref));
         }
     }
-    const auto hold_backoff = m_hold_after.find(longest->ref);
+    const auto hold_backoff = m_hold_backoff_until.find(longest->ref);
     log_event(now, "gang_waits", name_of(longest->ref),
               {{"waited_ms", wall - since},
                {"tasks", longest->step->count},
@@ -105,14 +105,14 @@
                {"empty", whole},
                {"held", held_tasks(longest->ref)},
                {"may_gather", may_gather(*longest)},
-               {"rests", hold_backoff != m_hold_after.end() && now < hold_backoff->second},
+               {"rests", hold_backoff != m_hold_backoff_until.end() && now < hold_backoff->second},
                {"advisors_idle", !m_hooks.advisors_idle || m_hooks.advisors_idle()},
                {"gather", named},
                {"gathering", gathering}});
 }
 
-void dispatcher::note_waiting_step(const step_ref& ref, const submission& owner, wall_ms waited_ms,
-                                   monotonic_time now)
+void dispatcher::log_waiting_step(const step_ref& ref, const submission& owner, wall_ms waited_ms,
+                                  monotonic_time now)
 {
     const step_spec& step = owner.spec.steps[ref.step];
     const resources need = host_demand_of(step);
--- a/src/dispatch/dispatcher_workers.cpp
+++ b/src/dispatch/dispatcher_workers.cpp
@@ -12,12 +12,12 @@
 
 namespace
 {
-constexpr std::size_t listed_at_once = 500; // ends that a worker lists in one answer at most
-constexpr double speed_weight = 0.1;        // smoothing for runs with reliable estimates: settles in a dozen
-constexpr double sound_spread = 0.06;       // spread of estimates that are off by about a quarter
-constexpr double look_weight = 0.005;       // smoothing of the share of lost polls: about the last second
-constexpr double least_speed = 0.3;         // bounds the effect of a single run
-constexpr double most_speed = 2.5;
+constexpr std::size_t max_listed_ends = 500; // ends that a worker lists in one answer at most
+constexpr double speed_smoothing = 0.1;      // smoothing for runs with reliable estimates: settles in a dozen
+constexpr double reliable_spread = 0.06;     // spread of estimates that are off by about a quarter
+constexpr double poll_loss_smoothing = 0.005; // smoothing of the share of lost polls: about the last second
+constexpr double min_speed_sample = 0.3;      // bounds the effect of a single run
+constexpr double max_speed_sample = 2.5;
 } // namespace
 
 // ---------------------------------------------------------------------------------------------------------
@@ -36,12 +36,12 @@
         }
         if (!view.poll_in_flight && !view.ends_commit_pending && !view.drop_proposed && now >= view.poll_due)
         {
-            look_at(view, now);
+            poll_worker(view, now);
         }
     }
 }
 
-void dispatcher::look_at(worker_view& view, monotonic_time now)
+void dispatcher::poll_worker(worker_view& view, monotonic_time now)
 {
     const worker_incarnation* worker = m_state.find(view.id);
     if (worker == nullptr || view.drop_proposed)
@@ -59,14 +59,14 @@
         order.until_ms = view.grant_lease(now, std::min(m_settings.lease, m_settings.max_lease));
     }
     const bool shared = view.serving > 0 && view.filling > 0;
-    const milliseconds wait = looks_get_lost() ? m_settings.short_poll_wait
-                              : shared         ? m_settings.colocation_poll_wait
-                                               : m_settings.poll_wait;
+    const milliseconds wait = polls_often_lost() ? m_settings.short_poll_wait
+                              : shared           ? m_settings.colocation_poll_wait
+                                                 : m_settings.poll_wait;
     // Unanswered orders are resolved by the list of runs, which a poll that waits for an end would delay.
-    const bool waits =
-        view.answered && !view.has_unresolved_runs() && !view.has_unresolved_start() && !may_rest(view);
+    const bool waits = view.answered && !view.has_unresolved_runs() && !view.has_unresolved_start() &&
+                       !may_poll_rarely(view);
     order.wait_ms = waits ? wait.count() : 0;
-    order.timeout = looks_get_lost() ? m_settings.short_poll_timeout : m_settings.poll_timeout;
+    order.timeout = polls_often_lost() ? m_settings.short_poll_timeout : m_settings.poll_timeout;
     view.poll_in_flight = true;
     view.poll_sent = now;
     m_hooks.poll(order,
@@ -80,12 +80,12 @@
 }
 
 // Only polls of responsive workers count, as those of failed ones say nothing about lost messages.
-void dispatcher::note_look(const worker_view& view, bool lost, monotonic_time now)
+void dispatcher::record_poll_outcome(const worker_view& view, bool lost, monotonic_time now)
 {
     const bool responsive = view.contact.time_since_contact(now) < m_settings.silent_after();
     if (responsive)
     {
-        m_lost_looks += look_weight * ((lost ? 1.0 : 0.0) - m_lost_looks);
+        m_poll_loss_rate += poll_loss_smoothing * ((lost ? 1.0 : 0.0) - m_poll_loss_rate);
     }
 }
 
@@ -103,7 +103,7 @@
     }
     if (answer.outcome == order_outcome::wrong_incarnation)
     {
-        drop_replaced(*view, now);
+        drop_replaced_worker(*view, now);
         return;
     }
     const process_start_ms known = m_state.find(worker)->description.process_start;
@@ -113,22 +113,23 @@
     const bool lost = answer.outcome == order_outcome::unanswered || from_other_process;
     if (!surely_not_executed(answer.outcome)) // a poll that was not sent was not lost
     {
-        note_look(*view, lost, now);
+        record_poll_outcome(*view, lost, now);
     }
     if (answer.outcome != order_outcome::accepted || from_other_process)
     {
         // It may only be a broken connection, so the first failed poll is repeated at once.
-        const bool at_once = lost && (looks_get_lost() || !view->contact.doubted());
+        const bool at_once = lost && (polls_often_lost() || !view->contact.doubted());
         if (answer.outcome != order_outcome::not_sent && view->contact.doubted())
         {
-            keep_last_word(*view, now);
+            save_last_known_runs(*view, now);
         }
         const bool first = lost && !view->contact.doubted();
         view->contact.record_failed_poll(answer.outcome, sent, now); // a refused poll renews no lease either
         view->poll_due = at_once ? now : now + m_settings.poll_retry_delay;
         if (first && !view->poll_in_flight && !view->ends_commit_pending)
         {
-            look_at(*view, now); // the sooner a failure is known, the less is lost if this leader fails too
+            poll_worker(*view,
+                        now); // the sooner a failure is known, the less is lost if this leader fails too
         }
         return;
     }
@@ -138,38 +139,38 @@
         view->poll_due = now;
         if (sent >= view->contact.last_heard())
         {
-            take_restart(*view, answer, now);
+            handle_restart(*view, answer, now);
         }
         return;
     }
     view->poll_due = now;
     view->contact.record_answer(now);
-    m_hearing.record_answer(now, longest_quiet());
+    m_contact_history.record_answer(now, max_expected_silence());
     view->answered_poll_sent = std::max(view->answered_poll_sent, sent);
     view->update_clock(answer.clock_ms, now);
-    take_runs(*view, answer, now);
+    apply_running(*view, answer, now);
     pace_fillers(*view, answer, now);
-    take_ends(*view, answer, sent, now);
-    rule_out_late_starts(*view, now);
+    apply_ends(*view, answer, sent, now);
+    stop_possible_late_starts(*view, now);
     view->answered = true;
-    forget_last_word(*view);
+    clear_last_known_runs(*view);
     if (view->has_pending_stops() || view->has_unresolved_start())
     {
         view->poll_due =
             now + m_settings.poll_retry_delay; // answers to the open orders trigger a poll earlier
     }
-    else if (!view->ends_commit_pending && may_rest(*view))
+    else if (!view->ends_commit_pending && may_poll_rarely(*view))
     {
         poll_rarely(*view, now);
     }
     else if (!view->ends_commit_pending)
     {
-        look_at(*view, now);
+        poll_worker(*view, now);
     }
     m_hooks.wake();
 }
 
-void dispatcher::take_runs(worker_view& view, const poll_answer& answer, monotonic_time now)
+void dispatcher::apply_running(worker_view& view, const poll_answer& answer, monotonic_time now)
 {
     for (auto& [run, known] : view.runs)
     {
@@ -211,8 +212,8 @@
     }
 }
 
-void dispatcher::take_ends(worker_view& view, const poll_answer& answer, monotonic_time sent,
-                           monotonic_time now)
+void dispatcher::apply_ends(worker_view& view, const poll_answer& answer, monotonic_time sent,
+                            monotonic_time now)
 {
     const worker_incarnation& worker = *m_state.find(view.id);
     record_ends command;
@@ -225,7 +226,7 @@
         if (end.number > worker.ends_recorded_up_to)
         {
             m_unconfirmed.confirm(end.run.task.step.submission);
-            judge_end(view, end, now);
+            evaluate_end(view, end, now);
             command.ends.push_back({end.run, static_cast<std::uint8_t>(end.how), end.checkpoint});
             ended.insert(end.run);
         }
@@ -234,7 +235,7 @@
     {
         const auto found = view.runs.find(run);
         if (found == view.runs.end() || found->second.listed || ended.contains(run) ||
-            answer.ended.size() >= listed_at_once)
+            answer.ended.size() >= max_listed_ends)
         {
             continue;
         }
@@ -267,7 +268,7 @@
                     {
                         if (*alive)
                         {
-                            note_absent(absent);
+                            handle_absent_runs(absent);
                             end_recording(command);
                         }
                         worker_view* later = *alive ? view_of(command.worker) : nullptr;
@@ -276,7 +277,7 @@
                             return;
                         }
                         later->ends_commit_pending = false;
-                        m_news.note(command.worker);
+                        m_freed_hosts.note(command.worker);
                         for (const observed_end& end : command.ends)
                         {
                             if (committed)
@@ -286,14 +287,14 @@
                         }
                         if (!later->poll_in_flight)
                         {
-                            look_at(*later, m_hooks.now());
+                            poll_worker(*later, m_hooks.now());
                         }
                         m_hooks.wake();
                     });
 }
 
 // Handles starts that an earlier leader recorded and that were never carried out.
-void dispatcher::note_absent(const std::set<run_ref>& absent)
+void dispatcher::handle_absent_runs(const std::set<run_ref>& absent)
 {
     for (const run_ref& run : absent)
     {
@@ -309,7 +310,7 @@
 {
     for (const observed_end& end : command.ends)
     {
-        ++m_recording[end.run.task.step.submission].entries;
+        ++m_pending_ends[end.run.task.step.submission].entries;
     }
 }
 
@@ -318,12 +319,12 @@
     std::vector<std::function<void()>> ready;
     for (const observed_end& end : command.ends)
     {
-        const auto pending = m_recording.find(end.run.task.step.submission);
-        if (pending != m_recording.end() && --pending->second.entries == 0)
+        const auto pending = m_pending_ends.find(end.run.task.step.submission);
+        if (pending != m_pending_ends.end() && --pending->second.entries == 0)
         {
             std::move(pending->second.waiting.begin(), pending->second.waiting.end(),
                       std::back_inserter(ready));
-            m_recording.erase(pending);
+            m_pending_ends.erase(pending);
         }
     }
     for (const auto& then : ready)
@@ -332,10 +333,10 @@
     }
 }
 
-void dispatcher::after_recording(submission_id id, std::function<void()> then)
+void dispatcher::after_ends_committed(submission_id id, std::function<void()> then)
 {
-    const auto pending = m_recording.find(id);
-    if (pending == m_recording.end())
+    const auto pending = m_pending_ends.find(id);
+    if (pending == m_pending_ends.end())
     {
         then();
         return;
@@ -344,7 +345,7 @@
 }
 
 // Learns run times and the worker's speed from an end, and avoids workers on which runs keep failing.
-void dispatcher::judge_end(worker_view& view, const reported_end& end, monotonic_time now)
+void dispatcher::evaluate_end(worker_view& view, const reported_end& end, monotonic_time now)
 {
     const submission* owner = m_state.find(end.run.task.step.submission);
     const auto known = view.runs.find(end.run);
@@ -374,13 +375,14 @@
             const std::int64_t took_ms = std::chrono::duration_cast<milliseconds>(took).count();
             const double expected = m_objectives.expected_ms(owner->queue, step);
             m_objectives.record_run(owner->queue, step.estimate_ms, took_ms);
-            const double sound = std::min(1.0, sound_spread / m_objectives.relative_variance(owner->queue));
+            const double sound =
+                std::min(1.0, reliable_spread / m_objectives.relative_variance(owner->queue));
             const double seen = std::clamp(expected / static_cast<double>(std::max<std::int64_t>(took_ms, 1)),
-                                           least_speed, most_speed);
+                                           min_speed_sample, max_speed_sample);
             const bool learns =
                 !step.gang &&
                 uses(mechanism::learned_speeds); // a gang runs at the speed of its slowest member
-            view.speed += learns ? speed_weight * sound * (seen - view.speed) : 0.0;
+            view.speed += learns ? speed_smoothing * sound * (seen - view.speed) : 0.0;
         }
     }
     else if (end.how == run_end::failed && !step.long_running && view.last_failed != owner->id &&
@@ -400,28 +402,28 @@
     }
 }
 
-void dispatcher::drop_lost(monotonic_time now)
+void dispatcher::drop_lost_workers(monotonic_time now)
 {
     bool leader_may_be_partitioned = false;
     for (auto& [id, view] : m_views)
     {
-        const drop_blocker kept = find_drop_blocker(view, m_hearing, now, m_settings);
+        const drop_blocker kept = find_drop_blocker(view, m_contact_history, now, m_settings);
         leader_may_be_partitioned = leader_may_be_partitioned || kept == drop_blocker::leader_may_be_isolated;
         if (kept == drop_blocker::none)
         {
-            drop_worker_life(view, "lease expired without an answer", false, now);
+            drop_incarnation(view, "lease expired without an answer", false, now);
         }
     }
     if (leader_may_be_partitioned)
     {
-        ask_a_resting_worker(now);
+        poll_one_idle_worker(now);
     }
 }
 
 // A replaced incarnation is dropped for good: a delayed report does not bring it back.
-void dispatcher::drop_replaced(worker_view& view, monotonic_time now)
+void dispatcher::drop_replaced_worker(worker_view& view, monotonic_time now)
 {
-    drop_worker_life(view, "replaced by another incarnation at its address", true, now);
+    drop_incarnation(view, "replaced by another incarnation at its address", true, now);
 }
 
 } // namespace walkthread
--- a/src/fabric/core_calls.cpp
+++ b/src/fabric/core_calls.cpp
@@ -166,14 +166,14 @@
 // are known but not committed yet are applied, so that the caller need not ask again.
 void core_node::handle(const state_call& call, const call_handler& handler)
 {
-    m_dispatcher->after_recording(call.id,
-                                  [this, alive = m_alive, call, handler]
-                                  {
-                                      if (*alive)
-                                      {
-                                          tell_state(call, handler);
-                                      }
-                                  });
+    m_dispatcher->after_ends_committed(call.id,
+                                       [this, alive = m_alive, call, handler]
+                                       {
+                                           if (*alive)
+                                           {
+                                               tell_state(call, handler);
+                                           }
+                                       });
 }
 
 void core_node::tell_state(const state_call& call, const call_handler& handler)
@@ -379,11 +379,11 @@
 
 void core_node::handle(const leave_call& call, const call_handler& handler)
 {
-    m_dispatcher->take_leave(call.incarnation,
-                             [handler](bool committed)
-                             {
-                                 handler(make_reply(committed ? reply_kind::done : reply_kind::unknown));
-                             });
+    m_dispatcher->handle_leave(call.incarnation,
+                               [handler](bool committed)
+                               {
+                                   handler(make_reply(committed ? reply_kind::done : reply_kind::unknown));
+                               });
 }
 
 void core_node::handle(const advise_call& call, const call_handler& handler)
--- a/src/fabric/core_node.cpp
+++ b/src/fabric/core_node.cpp
@@ -442,7 +442,7 @@
                    static_cast<double>(m_desk.waiting()));
     page.add_gauge("walkthread_unheard_runs",
                    "Runs on workers that have been unresponsive for longer than a lease.",
-                   m_dispatcher ? static_cast<double>(m_dispatcher->unheard_runs()) : 0.0);
+                   m_dispatcher ? static_cast<double>(m_dispatcher->runs_on_unresponsive_workers()) : 0.0);
     page.add(m_start_waits.collect());
     page.add(m_advice_times.collect());
     const dispatch_counters c = m_dispatcher ? m_dispatcher->counters() : dispatch_counters{};
--- a/tests/src/pool_stand_in.hpp
+++ b/tests/src/pool_stand_in.hpp
@@ -127,14 +127,14 @@
     {
         m_workers[incarnation].terminated = true;
         m_workers[incarnation].running.clear();
-        m_leader->take_leave(incarnation,
-                             [then](bool counted)
-                             {
-                                 if (counted)
-                                 {
-                                     then();
-                                 }
-                             });
+        m_leader->handle_leave(incarnation,
+                               [then](bool counted)
+                               {
+                                   if (counted)
+                                   {
+                                       then();
+                                   }
+                               });
     }
     void add_worker(const std::string& incarnation, const std::string& host, bool reports = true)
     {
--- a/tests/src/unit-gangs.cpp
+++ b/tests/src/unit-gangs.cpp
@@ -231,11 +231,11 @@
     {
         pool.run(milliseconds(1));
         const auto seen = std::make_shared<std::optional<submission_phase>>();
-        pool.leader().after_recording(id,
-                                      [&pool, id, seen]
-                                      {
-                                          *seen = pool.phase(id);
-                                      });
+        pool.leader().after_ends_committed(id,
+                                           [&pool, id, seen]
+                                           {
+                                               *seen = pool.phase(id);
+                                           });
         if (!seen->has_value()) // this read came between the end and its commit
         {
             pool.run(milliseconds(15));
@@ -258,11 +258,11 @@
     {
         pool.run(milliseconds(1));
         ++asked;
-        pool.leader().after_recording(id,
-                                      [&told]
-                                      {
-                                          ++told;
-                                      });
+        pool.leader().after_ends_committed(id,
+                                           [&told]
+                                           {
+                                               ++told;
+                                           });
         if (told < asked)
         {
             break;
--- a/tests/src/unit-restarts.cpp
+++ b/tests/src/unit-restarts.cpp
@@ -259,7 +259,7 @@
     const std::size_t there = pool.running_on("w0");
     BOOST_REQUIRE(there > 0U);
     pool.deliver(held_back);
-    pool.leader().take_leave("w0", [](bool) {});
+    pool.leader().handle_leave("w0", [](bool) {});
     pool.run(milliseconds(500));
     BOOST_TEST(pool.running_on("w0") == there);
     pool.run(seconds(8));
