--- a/bench/bench_dispatch.cpp
+++ b/bench/bench_dispatch.cpp
@@ -19,7 +19,7 @@
     {
         pool_settings settings;
         settings.workers = workers;
-        pool_stand_in pool(settings);
+        simulated_pool pool(settings);
         pool.start_leader();
         pool.run(seconds(1));
         std::mt19937_64 random(7);
--- a/tests/src/advisor_stand_in.hpp
+++ b/tests/src/advisor_stand_in.hpp
@@ -10,17 +10,17 @@
 namespace walkthread::test
 {
 
-class advisor_stand_in : public worker_stand_in
+class simulated_advisor : public simulated_workers
 {
   protected:
-    using worker_stand_in::worker_stand_in;
+    using simulated_workers::simulated_workers;
 
-    void take_question(const advice_question& question, bool urgent,
-                       const std::function<void(const advice_answer&)>& handler)
+    void enqueue_question(const advice_question& question, bool urgent,
+                          const std::function<void(const advice_answer&)>& handler)
     {
         const auto place = urgent ? m_questions.begin() : m_questions.end();
         m_questions.insert(place, {question, handler, m_now});
-        ask_next();
+        start_questions();
     }
     [[nodiscard]] bool askers_free() const
     {
@@ -32,7 +32,7 @@
     }
 
   private:
-    struct waiting_question
+    struct queued_question
     {
         advice_question question;
         std::function<void(const advice_answer&)> handler;
@@ -40,12 +40,12 @@
     };
 
     // Starts queued queries while advisor client processes are free.
-    void ask_next()
+    void start_questions()
     {
         while (!m_questions.empty() &&
                (m_settings.advisor_clients == 0 || m_active_questions < m_settings.advisor_clients))
         {
-            const waiting_question next = m_questions.front();
+            const queued_question next = m_questions.front();
             m_questions.pop_front();
             ++m_active_questions;
             at(m_settings.question + next.question.incarnations.size() * duration(200),
@@ -53,11 +53,11 @@
                {
                    --m_active_questions;
                    answer_question(next);
-                   ask_next();
+                   start_questions();
                });
         }
     }
-    void answer_question(const waiting_question& asked)
+    void answer_question(const queued_question& asked)
     {
         advice_answer answer;
         answer.answered = true;
@@ -75,7 +75,7 @@
         asked.handler(answer);
     }
 
-    std::deque<waiting_question> m_questions; // waiting for a free client process
+    std::deque<queued_question> m_questions; // waiting for a free client process
     std::size_t m_active_questions = 0;
 };
 
--- a/tests/src/narrow_pool.hpp
+++ b/tests/src/narrow_pool.hpp
@@ -14,11 +14,11 @@
 {
 
 // Sends polls over a bounded number of connections, each to one worker.
-class narrow_pool : public pool_stand_in
+class limited_connection_pool : public simulated_pool
 {
   public:
-    explicit narrow_pool(pool_settings settings)
-        : pool_stand_in(settings), m_connections(connection_pool_settings{settings.poll_connections})
+    explicit limited_connection_pool(pool_settings settings)
+        : simulated_pool(settings), m_connections(connection_pool_settings{settings.poll_connections})
     {
         expire();
     }
@@ -28,9 +28,9 @@
     }
 
   protected:
-    using look_handler = std::function<void(const poll_answer&)>;
+    using poll_handler = std::function<void(const poll_answer&)>;
 
-    void carry_look(const poll_order& order, const look_handler& handler) override
+    void deliver_poll(const poll_order& order, const poll_handler& handler) override
     {
         const pooled_call call{++m_calls};
         m_waiting[call] = {order, handler};
@@ -47,7 +47,7 @@
     {
         m_connections_opened += grant.is_new ? 1 : 0;
         const auto [order, handler] = m_waiting.extract(grant.call).mapped();
-        pool_stand_in::carry_look(
+        simulated_pool::deliver_poll(
             order,
             [this, handler = handler, connection = grant.connection](const poll_answer& answer)
             {
@@ -78,7 +78,7 @@
     }
 
     connection_pool m_connections;
-    std::map<pooled_call, std::pair<poll_order, look_handler>> m_waiting;
+    std::map<pooled_call, std::pair<poll_order, poll_handler>> m_waiting;
     std::uint64_t m_calls = 0;
     std::size_t m_connections_opened = 0;
 };
--- a/tests/src/pool_stand_in.hpp
+++ b/tests/src/pool_stand_in.hpp
@@ -18,15 +18,15 @@
 namespace walkthread::test
 {
 
-class pool_stand_in : public advisor_stand_in
+class simulated_pool : public simulated_advisor
 {
   public:
-    explicit pool_stand_in(pool_settings settings) : advisor_stand_in(settings)
+    explicit simulated_pool(pool_settings settings) : simulated_advisor(settings)
     {
         send_reports();
-        m_take_down = [this](const std::string& incarnation)
+        m_crash_worker = [this](const std::string& incarnation)
         {
-            take_down_under_run(incarnation);
+            crash_worker(incarnation);
         };
         cluster_configuration held;
         held.version = 1;
@@ -80,23 +80,22 @@
         m_leader_since = m_now;
         wake();
     }
-    void unlead()
+    void stop_leader()
     {
         m_leader.reset();
         m_leader_since.reset();
     }
     // When the present leader became able to act; empty while there is none.
-    [[nodiscard]] virtual std::optional<monotonic_time> works_since() const
+    [[nodiscard]] virtual std::optional<monotonic_time> leader_active_since() const
     {
         return m_leader_since;
     }
     void report(const std::string& incarnation, bool draining, std::int64_t remaining_ms = 3000)
     {
-        deliver(write_report(incarnation, draining, remaining_ms));
+        deliver(make_report(incarnation, draining, remaining_ms));
     }
     // Creates a report as the worker would send it. It may be delivered later, after newer ones.
-    worker_report write_report(const std::string& incarnation, bool draining,
-                               std::int64_t remaining_ms = 3000)
+    worker_report make_report(const std::string& incarnation, bool draining, std::int64_t remaining_ms = 3000)
     {
         sim_worker& worker = m_workers[incarnation];
         worker.draining = draining;
@@ -174,9 +173,9 @@
         worker.refuses_connections = refuses_connections;
         for (const auto& [run, state] : std::exchange(worker.running, {}))
         {
-            break_gang(run);
+            end_gang_members(run);
         }
-        if (auto handler = std::exchange(worker.waiting_look, nullptr); handler)
+        if (auto handler = std::exchange(worker.pending_poll, nullptr); handler)
         {
             at(refuses_connections ? duration(m_settings.network_delay) : lost_answer_timeout,
                [handler]
@@ -193,13 +192,13 @@
         sim_worker& worker = m_workers[incarnation];
         worker.terminated = true;
         worker.refuses_connections = !silent;
-        ++worker.look_number;
+        ++worker.poll_number;
         for (const auto& [run, state] : std::exchange(worker.running, {}))
         {
             ++m_crashes[run.task];
-            break_gang(run);
+            end_gang_members(run);
         }
-        if (auto handler = std::exchange(worker.waiting_look, nullptr); handler)
+        if (auto handler = std::exchange(worker.pending_poll, nullptr); handler)
         {
             at(silent ? lost_answer_timeout : duration(m_settings.network_delay),
                [handler]
@@ -208,20 +207,20 @@
                });
         }
         at(down,
-           [this, incarnation, reports, number = worker.look_number]
+           [this, incarnation, reports, number = worker.poll_number]
            {
                sim_worker fresh;
                sim_worker& former = m_workers[incarnation];
-               if (former.look_number != number)
+               if (former.poll_number != number)
                {
                    return; // restarted again while it was down
                }
                fresh.description = former.description;
                fresh.slowness = former.slowness;
                fresh.starts = former.starts;
-               fresh.look_number = former.look_number;
+               fresh.poll_number = former.poll_number;
                fresh.description.process_start = process_start_ms{wall()};
-               fresh.clock_zero = m_now.time_since_epoch();
+               fresh.clock_origin = m_now.time_since_epoch();
                fresh.faults.reports_lost = !reports;
                former = fresh;
                if (m_leader && reports)
@@ -265,8 +264,8 @@
     {
         return *m_leader;
     }
-    void begin_upkeep(const std::vector<std::string>& hosts, std::int64_t within_s, std::uint32_t at_once,
-                      std::uint64_t wave = 1)
+    void begin_maintenance_wave(const std::vector<std::string>& hosts, std::int64_t within_s,
+                                std::uint32_t at_once, std::uint64_t wave = 1)
     {
         commit(begin_wave{wave, hosts, within_s, at_once});
         wake();
@@ -283,7 +282,7 @@
         return true;
     }
     // Delivers a poll to its worker.
-    virtual void carry_look(const poll_order& order, const std::function<void(const poll_answer&)>& handler)
+    virtual void deliver_poll(const poll_order& order, const std::function<void(const poll_answer&)>& handler)
     {
         at(m_settings.network_delay,
            [this, order, handler]
@@ -296,7 +295,7 @@
         return m_term;
     }
     // How long the leader remains unable to make a pass.
-    [[nodiscard]] virtual duration frozen_for() const
+    [[nodiscard]] virtual duration remaining_freeze() const
     {
         return duration{0};
     }
@@ -305,7 +304,7 @@
 
   private:
     // Ends the other members of a gang after one member was lost.
-    void break_gang(const run_ref& lost)
+    void end_gang_members(const run_ref& lost)
     {
         const step_spec* step = m_state.find(lost.task.step);
         for (std::uint32_t index = 0; step != nullptr && step->gang && index < step->count; ++index)
@@ -321,7 +320,7 @@
         }
     }
     // The worker process ends and its connections break. Another incarnation starts on the same host later.
-    void take_down_under_run(const std::string& incarnation)
+    void crash_worker(const std::string& incarnation)
     {
         sim_worker& worker = m_workers[incarnation];
         if (m_settings.restarts_keep_ids)
@@ -334,9 +333,9 @@
         for (const auto& [run, state] : std::exchange(worker.running, {}))
         {
             ++m_crashes[run.task];
-            break_gang(run);
+            end_gang_members(run);
         }
-        if (auto handler = std::exchange(worker.waiting_look, nullptr); handler)
+        if (auto handler = std::exchange(worker.pending_poll, nullptr); handler)
         {
             at(m_settings.network_delay,
                [handler]
@@ -369,11 +368,11 @@
     }
     // Answers like the platform: success also if maintenance is already complete, rejection while the host is
     // down for it.
-    order_outcome take_down(const std::string& host)
+    order_outcome start_host_maintenance(const std::string& host)
     {
-        if (m_settings.maintenance == duration{0} || m_upkept.contains(host))
+        if (m_settings.maintenance == duration{0} || m_maintained_hosts.contains(host))
         {
-            return m_down_now.contains(host) ? order_outcome::no_room : order_outcome::accepted;
+            return m_hosts_in_maintenance.contains(host) ? order_outcome::no_room : order_outcome::accepted;
         }
         const auto here =
             std::find_if(m_workers.begin(), m_workers.end(),
@@ -387,13 +386,13 @@
         }
         here->second.terminated = true;
         here->second.running.clear();
-        m_upkept.insert(host);
-        m_down_now.insert(host);
-        m_most_down = std::max(m_most_down, m_down_now.size());
+        m_maintained_hosts.insert(host);
+        m_hosts_in_maintenance.insert(host);
+        m_max_hosts_down = std::max(m_max_hosts_down, m_hosts_in_maintenance.size());
         at(m_settings.maintenance,
            [this, host, next = here->first + "+"]
            {
-               m_down_now.erase(host);
+               m_hosts_in_maintenance.erase(host);
                add_worker(next, host);
            });
         return order_outcome::accepted;
@@ -417,7 +416,7 @@
                {
                    return;
                }
-               if (const duration remaining = frozen_for(); remaining > duration{0})
+               if (const duration remaining = remaining_freeze(); remaining > duration{0})
                {
                    pass_at(m_now + remaining);
                    return;
@@ -459,7 +458,7 @@
         };
         out.poll = [this](const poll_order& order, const std::function<void(const poll_answer&)>& handler)
         {
-            carry_look(order, handler);
+            deliver_poll(order, handler);
         };
         out.start =
             [this](const start_task_order& order, const std::function<void(const order_answer&)>& handler)
@@ -497,7 +496,7 @@
         out.advise = [this](const advice_question& question, bool urgent,
                             const std::function<void(const advice_answer&)>& handler)
         {
-            take_question(question, urgent, handler);
+            enqueue_question(question, urgent, handler);
         };
         if (m_settings.advisor_clients > 0)
         {
@@ -513,7 +512,7 @@
         out.order_maintenance = [this](const std::string& host, std::uint64_t, std::uint64_t,
                                        const std::function<void(const order_answer&)>& handler)
         {
-            answer_later(handler, {take_down(host), {}, false});
+            answer_later(handler, {start_host_maintenance(host), {}, false});
         };
         return out;
     }
--- a/tests/src/small_pool.hpp
+++ b/tests/src/small_pool.hpp
@@ -43,7 +43,7 @@
     return settings;
 }
 
-inline void check_unbroken(const pool_stand_in& pool)
+inline void check_invariants(const simulated_pool& pool)
 {
     for (const std::string& line : pool.violations())
     {
--- a/tests/src/standstill_check.hpp
+++ b/tests/src/standstill_check.hpp
@@ -18,45 +18,44 @@
 {
 
 // The longest time that a task may be stalled, by component.
-struct standstill_bounds
+struct stall_bounds
 {
     milliseconds longest_lease{6000}; // a new leader must assume that the worker was granted a lease just now
     double clock_drift = 0.02;        // by which the worker's clock may run slower
-    milliseconds lost_look{1700}; // a poll in flight, including its wait; afterwards the worker is suspected
-    milliseconds drop_and_commit{300}; // a pass, the log entry, and the next pass
-    milliseconds question{500};        // advisor query, repeated if hosts were taken meanwhile
-    milliseconds start{1000};          // the log entry and the order, which the first host may refuse
-    milliseconds gang_gathers{4000};   // how long a gang holds capacity before it releases it and asks again
-    milliseconds suspect_rests{8000};  // back-off for a task that was lost three times or more
-    std::uint32_t losses_before_rest = 3;
+    milliseconds lost_poll{1700}; // a poll in flight, including its wait; afterwards the worker is suspected
+    milliseconds drop_and_commit{300};  // a pass, the log entry, and the next pass
+    milliseconds question{500};         // advisor query, repeated if hosts were taken meanwhile
+    milliseconds start{1000};           // the log entry and the order, which the first host may refuse
+    milliseconds gang_gathering{4000};  // how long a gang holds capacity before it releases it and asks again
+    milliseconds suspect_backoff{8000}; // back-off for a task that was lost three times or more
+    std::uint32_t losses_before_backoff = 3;
     // How many workers a task may be sent to in succession while they become unresponsive; one lease each.
-    int workers_in_a_row = 1;
+    int successive_lost_workers = 1;
 
-    [[nodiscard]] duration of_task(bool gang, bool suspect) const
+    [[nodiscard]] duration max_stall(bool gang, bool suspect) const
     {
         const double lease = static_cast<double>(longest_lease.count()) * (1 + clock_drift);
         const duration each =
-            milliseconds(static_cast<std::int64_t>(lease)) + lost_look + drop_and_commit + question + start;
-        return each * workers_in_a_row + (gang ? gang_gathers : milliseconds(0)) +
-               (suspect ? suspect_rests : milliseconds(0));
+            milliseconds(static_cast<std::int64_t>(lease)) + lost_poll + drop_and_commit + question + start;
+        return each * successive_lost_workers + (gang ? gang_gathering : milliseconds(0)) +
+               (suspect ? suspect_backoff : milliseconds(0));
     }
 };
 
-class standstill_check
+class stall_check
 {
   public:
-    explicit standstill_check(pool_stand_in& pool, standstill_bounds bounds = {})
-        : m_pool(pool), m_bounds(bounds)
+    explicit stall_check(simulated_pool& pool, stall_bounds bounds = {}) : m_pool(pool), m_bounds(bounds)
     {
-        pool.every(between_looks,
+        pool.every(sample_interval,
                    [this]
                    {
                        sample();
                    });
     }
-    standstill_check(const standstill_check&) = delete;
-    standstill_check& operator=(const standstill_check&) = delete;
-    ~standstill_check() = default;
+    stall_check(const stall_check&) = delete;
+    stall_check& operator=(const stall_check&) = delete;
+    ~stall_check() = default;
 
     // One line for each task that was stalled for too long.
     [[nodiscard]] const std::vector<std::string>& found() const
@@ -78,9 +77,9 @@
     }
 
   private:
-    static constexpr milliseconds between_looks{100};
+    static constexpr milliseconds sample_interval{100};
     // Multiple of the capacity that the stalled tasks need.
-    static constexpr std::uint32_t room_needed = 2;
+    static constexpr std::uint32_t spare_capacity_factor = 2;
     // Share of the capacity of the workers that may run the step.
     static constexpr double max_used_share = 0.5;
 
@@ -99,8 +98,8 @@
 
     void sample()
     {
-        const auto works_since = m_pool.works_since();
-        if (!works_since)
+        const auto leader_active_since = m_pool.leader_active_since();
+        if (!leader_active_since)
         {
             m_stalls.clear();
             return;
@@ -111,13 +110,13 @@
         {
             for (std::uint32_t round = 0; !owner.final() && round < owner.rounds.size(); ++round)
             {
-                look_at_round(owner, round_id{round}, *works_since, next);
+                sample_round(owner, round_id{round}, *leader_active_since, next);
             }
         }
         m_stalls = std::move(next);
     }
-    void look_at_round(const submission& owner, round_id round, monotonic_time works_since,
-                       std::map<task_ref, stall>& next)
+    void sample_round(const submission& owner, round_id round, monotonic_time leader_active_since,
+                      std::map<task_ref, stall>& next)
     {
         const round_progress& progress = owner.rounds[round.value()];
         for (std::uint32_t step = 0; step < progress.steps.size(); ++step)
@@ -134,23 +133,24 @@
                       : std::vector<task_ref>{};
             if (!stalled.empty() && has_spare_capacity(owner, spec, stalled))
             {
-                record_stalls(spec, stalled, works_since, next);
+                record_stalls(spec, stalled, leader_active_since, next);
             }
         }
     }
     void record_stalls(const step_spec& spec, const std::vector<task_ref>& stalled,
-                       monotonic_time works_since, std::map<task_ref, stall>& next)
+                       monotonic_time leader_active_since, std::map<task_ref, stall>& next)
     {
         for (const task_ref& task : stalled)
         {
             const std::size_t starts = starts_of(spec, task);
             const auto known = m_stalls.find(task);
             const bool same = known != m_stalls.end() && known->second.starts == starts;
-            const monotonic_time since = std::max(same ? known->second.since : m_pool.now(), works_since);
+            const monotonic_time since =
+                std::max(same ? known->second.since : m_pool.now(), leader_active_since);
             next.emplace(task, stall{since, starts});
             const duration stalled_for = m_pool.now() - since;
             m_longest = std::max(m_longest, stalled_for);
-            if (stalled_for > m_bounds.of_task(spec.gang, is_suspect(task)) &&
+            if (stalled_for > m_bounds.max_stall(spec.gang, is_suspect(task)) &&
                 m_reported_tasks.insert(task).second)
             {
                 m_found.push_back(name_of(task) +
@@ -172,7 +172,7 @@
         {
             out = std::min(out, m_pool.starts_of({task.step, index}));
         }
-        const bool crashes_workers = spec.gang && m_pool.crash_a_worker.contains(task.step.submission);
+        const bool crashes_workers = spec.gang && m_pool.crashing_submissions.contains(task.step.submission);
         return crashes_workers ? std::max(out, m_pool.crashes_under({task.step, 0})) : out;
     }
     static std::string time_of(monotonic_time when)
@@ -184,7 +184,7 @@
     {
         const crash_evidence* against = m_pool.state().crashes().find(task);
         return against != nullptr && against->crashes + against->unclear + against->unconfirmed_losses >=
-                                         m_bounds.losses_before_rest;
+                                         m_bounds.losses_before_backoff;
     }
 
     // Collects the runs on workers that are up and within their lease.
@@ -216,7 +216,7 @@
         {
             const task_ref task{step, index};
             const bool done = progress.tasks[index].state() == work_phase::completed;
-            if (!done && !runs(task) && m_pool.may_come_until(task) < m_pool.now())
+            if (!done && !runs(task) && m_pool.late_order_until(task) < m_pool.now())
             {
                 out.push_back(task);
             }
@@ -246,7 +246,7 @@
                 add_capacity(worker, spec, step, sum);
             }
         }
-        return sum.slots >= room_needed * stalled.size() &&
+        return sum.slots >= spare_capacity_factor * stalled.size() &&
                dominant_share(sum.used, sum.total) < max_used_share;
     }
     template <class Worker>
@@ -272,7 +272,7 @@
         }
         const resources free = worker.description.size - used;
         std::uint64_t slots = 0;
-        while (slots < spec.count * room_needed &&
+        while (slots < spec.count * spare_capacity_factor &&
                fits(spec.size * static_cast<std::int64_t>(slots + 1), free))
         {
             ++slots;
@@ -287,8 +287,8 @@
         sum.total += worker.description.size;
     }
 
-    pool_stand_in& m_pool;
-    standstill_bounds m_bounds;
+    simulated_pool& m_pool;
+    stall_bounds m_bounds;
     std::set<run_ref> m_runs;
     std::map<task_ref, stall> m_stalls;
     std::set<task_ref> m_reported_tasks;
--- a/tests/src/troubled_pool.hpp
+++ b/tests/src/troubled_pool.hpp
@@ -12,16 +12,16 @@
 namespace walkthread::test
 {
 
-class troubled_pool : public narrow_pool
+class faulty_leader_pool : public limited_connection_pool
 {
   public:
-    using narrow_pool::narrow_pool;
+    using limited_connection_pool::limited_connection_pool;
 
     // Freezes the leader's process: until then it makes no pass and handles no answer and no report. Calls in
     // flight proceed.
     void freeze_leader(duration span)
     {
-        m_thaws = now() + span;
+        m_frozen_until = now() + span;
         m_frozen_term = term();
     }
     // Drops calls to the worker and messages from it for this time; its runs continue.
@@ -29,9 +29,9 @@
     {
         sim_worker& worker = m_workers[incarnation];
         worker.faults.unresponsive = true;
-        const monotonic_time until = std::max(m_cut_until[incarnation], now() + span);
-        m_cut_until[incarnation] = until;
-        if (auto handler = std::exchange(worker.waiting_look, nullptr); handler)
+        const monotonic_time until = std::max(m_isolated_until[incarnation], now() + span);
+        m_isolated_until[incarnation] = until;
+        if (auto handler = std::exchange(worker.pending_poll, nullptr); handler)
         {
             at(lost_answer_timeout,
                [handler]
@@ -42,43 +42,44 @@
         at(until - now(),
            [this, incarnation]
            {
-               m_workers[incarnation].faults.unresponsive = now() < m_cut_until[incarnation];
+               m_workers[incarnation].faults.unresponsive = now() < m_isolated_until[incarnation];
            });
     }
-    [[nodiscard]] std::optional<monotonic_time> works_since() const override
+    [[nodiscard]] std::optional<monotonic_time> leader_active_since() const override
     {
-        const std::optional<monotonic_time> leads = narrow_pool::works_since();
-        return !leads || frozen_for() > duration{0} ? std::nullopt
-               : m_frozen_term == term()            ? std::optional(std::max(*leads, m_thaws))
-                                                    : leads;
+        const std::optional<monotonic_time> leads = limited_connection_pool::leader_active_since();
+        return !leads || remaining_freeze() > duration{0} ? std::nullopt
+               : m_frozen_term == term()                  ? std::optional(std::max(*leads, m_frozen_until))
+                                                          : leads;
     }
     void deliver(
         const worker_report& report, const std::function<void()>& then = [] {}) override
     {
-        when_thawed(
+        run_when_resumed(
             [this, report, then]
             {
-                narrow_pool::deliver(report, then);
+                limited_connection_pool::deliver(report, then);
             });
     }
 
   protected:
-    [[nodiscard]] duration frozen_for() const override
+    [[nodiscard]] duration remaining_freeze() const override
     {
-        return m_frozen_term == term() ? std::max<duration>(m_thaws - now(), duration{0}) : duration{0};
+        return m_frozen_term == term() ? std::max<duration>(m_frozen_until - now(), duration{0})
+                                       : duration{0};
     }
     dispatch_hooks hooks() override
     {
-        dispatch_hooks out = narrow_pool::hooks();
-        delay_answers<bool>(out.propose);
-        delay_answers<const poll_answer&>(out.poll);
-        delay_answers<const order_answer&>(out.start);
-        delay_answers<const order_answer&>(out.stop);
-        delay_answers<const order_answer&>(out.pace);
+        dispatch_hooks out = limited_connection_pool::hooks();
+        defer_answers<bool>(out.propose);
+        defer_answers<const poll_answer&>(out.poll);
+        defer_answers<const order_answer&>(out.start);
+        defer_answers<const order_answer&>(out.stop);
+        defer_answers<const order_answer&>(out.pace);
         out.advise = [this, inner = out.advise](const advice_question& question, bool urgent,
                                                 const std::function<void(const advice_answer&)>& handler)
         {
-            inner(question, urgent, thawed<const advice_answer&>(handler));
+            inner(question, urgent, deferred_handler<const advice_answer&>(handler));
         };
         return out;
     }
@@ -89,9 +90,9 @@
 
     // Runs the work at once, or as soon as the current leader's process resumes; never if the leader is
     // replaced first.
-    void when_thawed(const std::function<void()>& work)
+    void run_when_resumed(const std::function<void()>& work)
     {
-        const duration remaining = frozen_for();
+        const duration remaining = remaining_freeze();
         if (remaining == duration{0})
         {
             work();
@@ -100,18 +101,18 @@
         at(remaining,
            [this, work, term = term()]
            {
-               if (term == this->term() && narrow_pool::works_since())
+               if (term == this->term() && limited_connection_pool::leader_active_since())
                {
-                   when_thawed(work);
+                   run_when_resumed(work);
                }
            });
     }
     template <class Answer>
-    answer_handler<Answer> thawed(const answer_handler<Answer>& handler)
+    answer_handler<Answer> deferred_handler(const answer_handler<Answer>& handler)
     {
         return [this, handler](Answer answer)
         {
-            when_thawed(
+            run_when_resumed(
                 [handler, answer = std::decay_t<Answer>(answer)]
                 {
                     handler(answer);
@@ -119,17 +120,17 @@
         };
     }
     template <class Answer, class Call>
-    void delay_answers(std::function<void(Call, answer_handler<Answer>)>& hook)
+    void defer_answers(std::function<void(Call, answer_handler<Answer>)>& hook)
     {
         hook = [this, inner = hook](const Call& call, const answer_handler<Answer>& handler)
         {
-            inner(call, thawed<Answer>(handler));
+            inner(call, deferred_handler<Answer>(handler));
         };
     }
 
-    monotonic_time m_thaws{};
+    monotonic_time m_frozen_until{};
     std::uint64_t m_frozen_term = 0;
-    std::map<std::string, monotonic_time> m_cut_until;
+    std::map<std::string, monotonic_time> m_isolated_until;
 };
 
 } // namespace walkthread::test
--- a/tests/src/unit-acknowledged.cpp
+++ b/tests/src/unit-acknowledged.cpp
@@ -11,7 +11,7 @@
 
 namespace
 {
-void submit_load(pool_stand_in& pool, int submissions)
+void submit_load(simulated_pool& pool, int submissions)
 {
     for (int i = 0; i < submissions; ++i)
     {
@@ -20,13 +20,13 @@
 }
 
 // The next leader receives no worker reports, since they still go to the address of the previous leader.
-void change_leader_unheard(pool_stand_in& pool, std::size_t workers, duration leaderless)
+void change_leader_without_reports(simulated_pool& pool, std::size_t workers, duration leaderless)
 {
     for (std::size_t i = 0; i < workers; ++i)
     {
         pool.faults("w" + std::to_string(i)).reports_lost = true;
     }
-    pool.unlead();
+    pool.stop_leader();
     pool.run(leaderless);
     pool.start_leader();
 }
@@ -40,12 +40,12 @@
 // was responsive again, a delayed report from before the announcement arrived first and readmitted it without
 // the leaving state, so it got new tasks until its next report. A readmitted incarnation must keep its
 // acknowledged leaving state.
-BOOST_AUTO_TEST_CASE(a_life_that_comes_back_still_leaves)
+BOOST_AUTO_TEST_CASE(a_readmitted_worker_is_still_leaving)
 {
-    pool_stand_in pool(small_pool_settings(3));
+    simulated_pool pool(small_pool_settings(3));
     pool.start_leader();
     pool.run(seconds(1));
-    const worker_report held_back = pool.write_report("w0", false);
+    const worker_report held_back = pool.make_report("w0", false);
     pool.report("w0", true, 60'000);
     pool.run(milliseconds(100));
     pool.faults("w0").unresponsive = true;
@@ -56,7 +56,7 @@
     pool.deliver(held_back);
     submit_load(pool, 10);
     pool.run(seconds(3));
-    check_unbroken(pool);
+    check_invariants(pool);
     BOOST_TEST(pool.starts_on("w0") == 0U);
 }
 
@@ -65,7 +65,7 @@
 // accepts work. Such a run must be stopped and started elsewhere.
 BOOST_AUTO_TEST_CASE(an_order_is_not_sent_again_to_a_worker_that_leaves)
 {
-    pool_stand_in pool(small_pool_settings(2));
+    simulated_pool pool(small_pool_settings(2));
     pool.start_leader();
     pool.run(seconds(1));
     pool.faults("w0").late = 1.0;
@@ -74,7 +74,7 @@
     pool.faults("w0").late = 0.0;
     pool.report("w0", true, 60'000);
     pool.run(seconds(10));
-    check_unbroken(pool);
+    check_invariants(pool);
     BOOST_TEST(pool.starts_on("w0") == 0U);
     BOOST_TEST((pool.phase(id) == submission_phase::completed));
 }
@@ -82,7 +82,7 @@
 // The state machine itself rejects a start on a leaving worker, whoever planned it.
 BOOST_AUTO_TEST_CASE(a_start_on_a_worker_that_leaves_is_not_recorded)
 {
-    pool_stand_in pool(small_pool_settings(1));
+    simulated_pool pool(small_pool_settings(1));
     pool.start_leader();
     pool.run(seconds(1));
     pool.report("w0", true, 60'000);
@@ -98,24 +98,24 @@
 // A worker that revoked its announcement to leave is used by the next leader too.
 BOOST_AUTO_TEST_CASE(a_worker_that_stays_after_all_is_used_by_the_next_leader)
 {
-    pool_stand_in pool(small_pool_settings(1));
+    simulated_pool pool(small_pool_settings(1));
     pool.start_leader();
     pool.run(seconds(1));
     pool.report("w0", true, 60'000);
     pool.run(milliseconds(100));
     bool acknowledged = false;
-    pool.deliver(pool.write_report("w0", false),
+    pool.deliver(pool.make_report("w0", false),
                  [&acknowledged]
                  {
                      acknowledged = true;
                  });
     pool.run(milliseconds(100));
     BOOST_REQUIRE(acknowledged);
-    change_leader_unheard(pool, 1, milliseconds(400));
+    change_leader_without_reports(pool, 1, milliseconds(400));
     submit_load(pool, 1);
     pool.run(seconds(2));
     BOOST_TEST(pool.starts_on("w0") == 4U);
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 
 // ---------------------------------------------------------------------------------------------------------
@@ -124,7 +124,7 @@
 
 namespace
 {
-enum class acknowledged_kind
+enum class acknowledgement_kind
 {
     leaving,
     left,
@@ -136,12 +136,12 @@
 
 // Runs one scenario without other faults: load, one acknowledgement at a time drawn from the seed, and the
 // loss of the leader right after it.
-void play_calm_day(acknowledged_kind kind, std::uint64_t seed)
+void run_acknowledgement_scenario(acknowledgement_kind kind, std::uint64_t seed)
 {
     pool_settings settings = small_pool_settings(6);
     settings.seed = seed;
     settings.maintenance = seconds(2);
-    pool_stand_in pool(settings);
+    simulated_pool pool(settings);
     std::mt19937_64 random(seed * 131);
     pool.start_leader();
     pool.run(seconds(1));
@@ -157,44 +157,44 @@
     const auto change = [&pool, &acknowledged, leaderless]
     {
         acknowledged = true;
-        change_leader_unheard(pool, 6, leaderless);
+        change_leader_without_reports(pool, 6, leaderless);
     };
     switch (kind)
     {
-    case acknowledged_kind::leaving:
-        pool.deliver(pool.write_report(incarnation, true, 60'000),
+    case acknowledgement_kind::leaving:
+        pool.deliver(pool.make_report(incarnation, true, 60'000),
                      [&acknowledged]
                      {
                          acknowledged = true;
                      });
         break;
-    case acknowledged_kind::left:
+    case acknowledgement_kind::left:
         pool.leave(incarnation,
                    [&acknowledged]
                    {
                        acknowledged = true;
                    });
         break;
-    case acknowledged_kind::cancelled:
+    case acknowledgement_kind::cancelled:
         all.front() = pool.submit("plain", {make_step(4, 1000, 20'000)});
         pool.run(milliseconds(300));
         pool.cancel(all.front());
         break;
-    case acknowledged_kind::kept:
+    case acknowledgement_kind::kept:
         all.push_back(pool.submit("plain", {make_step(2, 1000, 300)}));
         break;
-    case acknowledged_kind::ended:
+    case acknowledgement_kind::ended:
         break;
-    case acknowledged_kind::maintenance:
-        pool.begin_upkeep({"h0", "h1", "h2", "h3"}, 30, 1);
+    case acknowledgement_kind::maintenance:
+        pool.begin_maintenance_wave({"h0", "h1", "h2", "h3"}, 30, 1);
         pool.run(milliseconds(static_cast<std::int64_t>(random() % 4000)));
         break;
     }
-    while (!acknowledged && (kind == acknowledged_kind::leaving || kind == acknowledged_kind::left))
+    while (!acknowledged && (kind == acknowledgement_kind::leaving || kind == acknowledgement_kind::left))
     {
         pool.run(milliseconds(1));
     }
-    pool.run(milliseconds(kind == acknowledged_kind::kept ? 10 : 0));
+    pool.run(milliseconds(kind == acknowledgement_kind::kept ? 10 : 0));
     change();
     for (int i = 0; i < 30; ++i)
     {
@@ -208,13 +208,13 @@
     pool.run(seconds(30));
     BOOST_TEST_CONTEXT("kind " << static_cast<int>(kind) << " seed " << seed)
     {
-        check_unbroken(pool);
+        check_invariants(pool);
         BOOST_TEST((pool.longest_after_cancel() < leaderless + milliseconds(600))); // 200 ms for a stop
-        BOOST_TEST(pool.most_down() <= 1U);
-        BOOST_TEST((kind != acknowledged_kind::maintenance || pool.state().waves().at(1).complete()));
+        BOOST_TEST(pool.max_hosts_down() <= 1U);
+        BOOST_TEST((kind != acknowledgement_kind::maintenance || pool.state().waves().at(1).complete()));
         for (const submission_id id : all)
         {
-            const submission_phase expected = kind == acknowledged_kind::cancelled && id == all.front()
+            const submission_phase expected = kind == acknowledgement_kind::cancelled && id == all.front()
                                                   ? submission_phase::cancelled
                                                   : submission_phase::completed;
             BOOST_TEST((pool.phase(id) == expected), name_of(id) << " is " << name_of(pool.phase(id)));
@@ -229,27 +229,27 @@
 // changes here right after each kind of acknowledgement, without other faults.
 BOOST_AUTO_TEST_CASE(what_was_acknowledged_holds_under_the_next_leader)
 {
-    for (const acknowledged_kind kind :
-         {acknowledged_kind::leaving, acknowledged_kind::left, acknowledged_kind::cancelled,
-          acknowledged_kind::kept, acknowledged_kind::ended, acknowledged_kind::maintenance})
+    for (const acknowledgement_kind kind :
+         {acknowledgement_kind::leaving, acknowledgement_kind::left, acknowledgement_kind::cancelled,
+          acknowledgement_kind::kept, acknowledgement_kind::ended, acknowledgement_kind::maintenance})
     {
         for (std::uint64_t seed = first_seed(); seed < first_seed() + seed_count(40); ++seed)
         {
-            play_calm_day(kind, seed);
+            run_acknowledgement_scenario(kind, seed);
         }
     }
 }
 
 // A worker revoked its announcement to leave and then repeated it. The report in between arrived late, at a
 // leader that knew only the first announcement, and tasks were started on a leaving worker.
-BOOST_AUTO_TEST_CASE(an_older_report_does_not_take_back_a_leave_that_was_said_again)
+BOOST_AUTO_TEST_CASE(an_older_report_does_not_revoke_a_repeated_leave)
 {
-    pool_stand_in pool(small_pool_settings(2));
+    simulated_pool pool(small_pool_settings(2));
     pool.start_leader();
     pool.run(seconds(1));
     pool.report("w1", true, 60'000);
     pool.run(milliseconds(100));
-    const worker_report late = pool.write_report("w1", false, 60'000);
+    const worker_report late = pool.make_report("w1", false, 60'000);
     pool.report("w1", true, 60'000);
     pool.run(milliseconds(100));
     pool.faults("w1").reports_lost = true; // none of its later reports arrives in time
@@ -259,18 +259,18 @@
     pool.run(seconds(4)); // beyond the drain bound after the acknowledgement
     submit_load(pool, 8);
     pool.run(seconds(2));
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 
 // Workers that announce and revoke leaving, are isolated, unresponsive or slow, with reordered reports and
 // leader changes right after an acknowledgement.
-BOOST_AUTO_TEST_CASE(random_days_start_nothing_on_workers_that_leave)
+BOOST_AUTO_TEST_CASE(random_scenarios_start_nothing_on_leaving_workers)
 {
     for (std::uint64_t seed = first_seed(); seed < first_seed() + seed_count(150); ++seed)
     {
         pool_settings settings = small_pool_settings(6);
         settings.seed = seed;
-        pool_stand_in pool(settings);
+        simulated_pool pool(settings);
         std::mt19937_64 random(seed * 7919);
         const auto draw = [&random](std::uint64_t below)
         {
@@ -289,7 +289,7 @@
                 pool.report(incarnation, draw(3) != 0, 60'000);
                 break;
             case 2:
-                held_back.push_back(pool.write_report(incarnation, draw(2) == 0, 60'000));
+                held_back.push_back(pool.make_report(incarnation, draw(2) == 0, 60'000));
                 break;
             case 3:
                 if (!held_back.empty())
@@ -310,7 +310,7 @@
                 if (draw(2) == 0)
                 {
                     bool acknowledged = false;
-                    pool.deliver(pool.write_report(incarnation, true, 60'000),
+                    pool.deliver(pool.make_report(incarnation, true, 60'000),
                                  [&acknowledged]
                                  {
                                      acknowledged = true;
@@ -329,7 +329,7 @@
         }
         BOOST_TEST_CONTEXT("seed " << seed)
         {
-            check_unbroken(pool);
+            check_invariants(pool);
         }
     }
 }
@@ -343,33 +343,33 @@
 // did not associate the return with the wave, so the maintenance wave never completed and the host kept
 // occupying the slot of a host that is down. A host that answers after its maintenance was accepted counts as
 // finished.
-BOOST_AUTO_TEST_CASE(a_wave_ends_although_the_leader_is_lost_right_after_an_upkeep_began)
+BOOST_AUTO_TEST_CASE(a_wave_ends_if_the_leader_is_lost_right_after_maintenance_began)
 {
     pool_settings settings = small_pool_settings(3);
     settings.maintenance = seconds(2);
-    pool_stand_in pool(settings);
+    simulated_pool pool(settings);
     pool.start_leader();
     pool.run(seconds(1));
-    pool.begin_upkeep({"h0", "h1"}, 30, 1);
-    while (pool.most_down() == 0)
+    pool.begin_maintenance_wave({"h0", "h1"}, 30, 1);
+    while (pool.max_hosts_down() == 0)
     {
         pool.run(milliseconds(1));
     }
-    pool.unlead();
+    pool.stop_leader();
     pool.run(milliseconds(400));
     pool.start_leader();
     pool.run(seconds(20));
     BOOST_TEST(pool.state().waves().at(1).complete());
-    BOOST_TEST(pool.most_down() == 1U);
+    BOOST_TEST(pool.max_hosts_down() == 1U);
 }
 
 // A leader stopped one of two long-running tasks, one of which may be down, and was replaced before the stop
 // completed. The next leader saw both tasks running and stopped the other one.
-BOOST_AUTO_TEST_CASE(a_stop_of_the_last_leader_counts_as_away)
+BOOST_AUTO_TEST_CASE(a_stop_by_the_previous_leader_counts_against_may_miss)
 {
     pool_settings settings = small_pool_settings(2);
     settings.maintenance = seconds(2);
-    pool_stand_in pool(settings);
+    simulated_pool pool(settings);
     pool.start_leader();
     pool.run(seconds(1));
     step_spec long_running = make_step(2, 9000, 0);
@@ -379,9 +379,9 @@
     pool.run(seconds(3));
     BOOST_REQUIRE(pool.running_on("w0") == 1U);
     BOOST_REQUIRE(pool.running_on("w1") == 1U);
-    pool.begin_upkeep({"h1"}, 60, 1, 2);
+    pool.begin_maintenance_wave({"h1"}, 60, 1, 2);
     pool.run(milliseconds(60)); // the stop order for one of them is sent
-    pool.begin_upkeep({"h0"}, 60, 1, 1);
+    pool.begin_maintenance_wave({"h0"}, 60, 1, 1);
     pool.start_leader();
     std::size_t least = 2;
     for (int ms = 0; ms < 400; ++ms)
@@ -390,7 +390,7 @@
         least = std::min(least, pool.running_on("w0") + pool.running_on("w1"));
     }
     BOOST_TEST(least == 1U);
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 
 // ---------------------------------------------------------------------------------------------------------
@@ -402,11 +402,11 @@
 // Start and stop orders are unanswered and carried out later; meanwhile the submissions are cancelled, and
 // the leader that sent the orders may be gone. Returns the longest time that a run existed after its
 // cancellation.
-duration cancel_late_starts(std::uint64_t seed, bool other_leader, double late_stops)
+duration cancel_delayed_starts(std::uint64_t seed, bool other_leader, double late_stops)
 {
     pool_settings settings = small_pool_settings(4);
     settings.seed = seed;
-    pool_stand_in pool(settings);
+    simulated_pool pool(settings);
     pool.start_leader();
     pool.run(seconds(1));
     for (int i = 0; i < 4; ++i)
@@ -424,7 +424,7 @@
     pool.run(milliseconds(static_cast<std::int64_t>(50 + seed * 37 % 900)));
     if (other_leader)
     {
-        pool.unlead();
+        pool.stop_leader();
         pool.run(milliseconds(static_cast<std::int64_t>(seed * 61 % 1200)));
         pool.start_leader();
     }
@@ -435,7 +435,7 @@
     pool.run(seconds(25));
     BOOST_TEST_CONTEXT("seed " << seed)
     {
-        check_unbroken(pool);
+        check_invariants(pool);
         for (int i = 0; i < 4; ++i)
         {
             BOOST_TEST(pool.running_on("w" + std::to_string(i)) == 0U);
@@ -451,17 +451,17 @@
 {
     for (std::uint64_t seed = first_seed(); seed < first_seed() + seed_count(100); ++seed)
     {
-        BOOST_TEST((cancel_late_starts(seed, false, 0.0) < milliseconds(1500)));
+        BOOST_TEST((cancel_delayed_starts(seed, false, 0.0) < milliseconds(1500)));
     }
 }
 
 // The same if the leader that sent the order is removed before the cancellation: either its order is fenced
 // off after the next leader's first poll, or the run it started is seen by that poll.
-BOOST_AUTO_TEST_CASE(a_task_whose_starter_is_removed_is_stopped_after_its_cancel)
+BOOST_AUTO_TEST_CASE(a_task_started_by_a_removed_leader_is_stopped_after_its_cancel)
 {
     for (std::uint64_t seed = first_seed(); seed < first_seed() + seed_count(100); ++seed)
     {
-        BOOST_TEST((cancel_late_starts(seed, true, 0.0) < milliseconds(1500)));
+        BOOST_TEST((cancel_delayed_starts(seed, true, 0.0) < milliseconds(1500)));
     }
 }
 
@@ -470,6 +470,6 @@
 {
     for (std::uint64_t seed = first_seed(); seed < first_seed() + seed_count(50); ++seed)
     {
-        cancel_late_starts(seed, seed % 2 == 0, 0.5);
+        cancel_delayed_starts(seed, seed % 2 == 0, 0.5);
     }
 }
--- a/tests/src/unit-crash-days.cpp
+++ b/tests/src/unit-crash-days.cpp
@@ -13,7 +13,7 @@
 // Randomized scenarios: a share of the submissions are poison tasks that crash their workers, in all queues,
 // at two pool sizes. In some the restart takes longer than the lease, so that a crash is known only after the
 // task runs again.
-BOOST_AUTO_TEST_CASE(random_days_lose_no_ordinary_submission)
+BOOST_AUTO_TEST_CASE(random_scenarios_lose_no_ordinary_submission)
 {
     for (std::uint64_t seed = first_seed(); seed < first_seed() + seed_count(400, 20); ++seed)
     {
@@ -25,8 +25,9 @@
                 return random() % below;
             };
             const std::size_t hosts = draw(2) == 0 ? 48 : 24;
-            crash_day scenario(hosts, seed, milliseconds(2000 + static_cast<std::int64_t>(draw(6)) * 1000));
-            const standstill_check stalls(scenario.pool);
+            crash_scenario scenario(hosts, seed,
+                                    milliseconds(2000 + static_cast<std::int64_t>(draw(6)) * 1000));
+            const stall_check stalls(scenario.pool);
             const std::uint64_t percent = std::array{1, 5, 30}.at(seed % 3);
             for (int i = 0; i < 60; ++i)
             {
@@ -37,7 +38,7 @@
                 const std::string queue = kind == 0 ? "urgent" : kind == 1 ? "batch" : "gangs";
                 if (draw(100) < percent)
                 {
-                    scenario.submit_poison(queue, std::move(steps));
+                    scenario.submit_crashing(queue, std::move(steps));
                 }
                 else
                 {
@@ -50,7 +51,7 @@
                 }
             }
             scenario.pool.run(seconds(90));
-            scenario.check_poison_given_up();
+            scenario.check_crashing_tasks_failed();
             scenario.check_ordinary_completed();
             stalls.check();
         }
--- a/tests/src/unit-crash-loops.cpp
+++ b/tests/src/unit-crash-loops.cpp
@@ -15,16 +15,16 @@
 
 BOOST_AUTO_TEST_CASE(a_task_that_crashes_its_workers_is_given_up)
 {
-    crash_day scenario(12);
-    scenario.submit_poison("plain", {make_step(2, 1400, 1000)});
-    scenario.submit_poison("plain", {make_step(2, 1400, 1000)});
+    crash_scenario scenario(12);
+    scenario.submit_crashing("plain", {make_step(2, 1400, 1000)});
+    scenario.submit_crashing("plain", {make_step(2, 1400, 1000)});
     for (int i = 0; i < 30; ++i)
     {
         scenario.submit_ordinary("plain", {make_step(2, 1400, 1000)});
         scenario.pool.run(seconds(1));
     }
     scenario.pool.run(seconds(20));
-    scenario.check_poison_given_up();
+    scenario.check_crashing_tasks_failed();
     scenario.check_ordinary_completed();
 }
 
@@ -33,8 +33,8 @@
 // orders are refused.
 BOOST_AUTO_TEST_CASE(work_goes_elsewhere_as_soon_as_a_worker_is_down)
 {
-    crash_day scenario(4);
-    scenario.submit_poison("plain", {make_step(1, 1400, 1000)});
+    crash_scenario scenario(4);
+    scenario.submit_crashing("plain", {make_step(1, 1400, 1000)});
     scenario.pool.run(milliseconds(100));
     const submission_id id = scenario.pool.submit("plain", {make_step(2, 1400, 500)});
     scenario.pool.run(milliseconds(700));
@@ -42,10 +42,10 @@
 }
 
 // The crash evidence of a task survives leader changes.
-BOOST_AUTO_TEST_CASE(a_task_that_crashes_its_workers_is_given_up_whoever_leads)
+BOOST_AUTO_TEST_CASE(a_task_that_crashes_its_workers_is_given_up_across_leader_changes)
 {
-    crash_day scenario(12);
-    scenario.submit_poison("plain", {make_step(2, 1400, 1000)});
+    crash_scenario scenario(12);
+    scenario.submit_crashing("plain", {make_step(2, 1400, 1000)});
     for (int i = 0; i < 10; ++i)
     {
         scenario.submit_ordinary("plain", {make_step(2, 1400, 1000)});
@@ -53,17 +53,17 @@
         scenario.pool.start_leader();
     }
     scenario.pool.run(seconds(20));
-    scenario.check_poison_given_up();
+    scenario.check_crashing_tasks_failed();
     scenario.check_ordinary_completed();
 }
 
 // The advisor approves only some hosts for each step, and tickets for them expire.
-BOOST_AUTO_TEST_CASE(such_a_task_is_given_up_on_an_advised_queue_and_in_a_gang)
+BOOST_AUTO_TEST_CASE(a_crashing_task_is_given_up_on_an_advised_queue_and_in_a_gang)
 {
-    crash_day scenario(24);
-    scenario.submit_poison("urgent", {make_step(2, 1400, 1000)});
-    scenario.submit_poison("batch", {make_step(10, 980, 2000)});
-    scenario.submit_poison("gangs", {make_step(6, 4500, 2000, true)});
+    crash_scenario scenario(24);
+    scenario.submit_crashing("urgent", {make_step(2, 1400, 1000)});
+    scenario.submit_crashing("batch", {make_step(10, 980, 2000)});
+    scenario.submit_crashing("gangs", {make_step(6, 4500, 2000, true)});
     for (int i = 0; i < 30; ++i)
     {
         scenario.submit_ordinary("urgent", {make_step(2, 1400, 1000)});
@@ -71,15 +71,15 @@
         scenario.pool.run(seconds(1));
     }
     scenario.pool.run(seconds(30));
-    scenario.check_poison_given_up();
+    scenario.check_crashing_tasks_failed();
     scenario.check_ordinary_completed();
 }
 
 // Such tasks were restarted one per host, with a delay for each host that the advisor had named.
 BOOST_AUTO_TEST_CASE(a_step_that_was_lost_with_its_host_starts_again_at_once)
 {
-    const standstill_bounds bounds;
-    crash_day scenario(24);
+    const stall_bounds bounds;
+    crash_scenario scenario(24);
     const submission_id id = scenario.pool.submit("batch", {make_step(10, 980, 5000)});
     scenario.pool.run(milliseconds(300));
     const task_ref first{{id, round_id{0}, 0}, 0};
@@ -95,12 +95,12 @@
 }
 
 // A leader that took over right after a crash assumed that the run might never have begun.
-BOOST_AUTO_TEST_CASE(the_next_leader_knows_what_had_just_begun_on_a_host_that_was_lost)
+BOOST_AUTO_TEST_CASE(the_next_leader_knows_which_run_had_just_begun_on_a_lost_host)
 {
     for (const bool twice : {false, true})
     {
-        crash_day scenario(4);
-        scenario.submit_poison("plain", {make_step(1, 1400, 1000)});
+        crash_scenario scenario(4);
+        scenario.submit_crashing("plain", {make_step(1, 1400, 1000)});
         scenario.pool.run(milliseconds(200));
         scenario.pool.start_leader();
         if (twice)
@@ -119,9 +119,9 @@
 
 // Otherwise the state recorded when the worker became unresponsive would later blame a run that had begun
 // long before the worker was lost.
-BOOST_AUTO_TEST_CASE(what_was_known_of_a_worker_that_answers_again_is_forgotten)
+BOOST_AUTO_TEST_CASE(the_last_known_state_of_a_worker_that_answers_again_is_cleared)
 {
-    crash_day scenario(1);
+    crash_scenario scenario(1);
     scenario.submit_ordinary("plain", {make_step(1, 1400, 30000)});
     scenario.pool.run(milliseconds(100));
     const worker_incarnation& worker = *scenario.pool.state().find_host("h0");
@@ -134,9 +134,9 @@
 }
 
 // Its end may have gone unreported, as run time estimates can be far off.
-BOOST_AUTO_TEST_CASE(a_run_that_may_have_been_over_counts_as_no_sure_crash)
+BOOST_AUTO_TEST_CASE(a_run_that_may_have_ended_is_not_counted_as_a_certain_crash)
 {
-    crash_day scenario(1);
+    crash_scenario scenario(1);
     const submission_id id = scenario.pool.submit("plain", {make_step(1, 1400, 3000)});
     scenario.pool.run(milliseconds(100));
     scenario.pool.faults("w0").unresponsive = true;
@@ -152,11 +152,11 @@
 // A long-running task runs until it is cancelled, whatever happens to its hosts.
 BOOST_AUTO_TEST_CASE(a_lasting_task_is_not_given_up)
 {
-    crash_day scenario(12);
+    crash_scenario scenario(12);
     step_spec step = make_step(1, 1400, 1000);
     step.long_running = true;
     const submission_id id = scenario.pool.submit("plain", {step});
-    scenario.pool.crash_a_worker.insert(id);
+    scenario.pool.crashing_submissions.insert(id);
     scenario.pool.run(seconds(60));
     BOOST_TEST((scenario.pool.phase(id) == submission_phase::running));
     BOOST_TEST(scenario.pool.starts_of({{id, round_id{0}, 0}, 0}) >= 10U);
--- a/tests/src/unit-cut-off-leaders.cpp
+++ b/tests/src/unit-cut-off-leaders.cpp
@@ -11,7 +11,7 @@
 
 namespace
 {
-void set_dark(pool_stand_in& pool, std::size_t workers, bool unresponsive)
+void set_unresponsive(simulated_pool& pool, std::size_t workers, bool unresponsive)
 {
     for (std::size_t i = 0; i < workers; ++i)
     {
@@ -19,7 +19,7 @@
     }
 }
 
-std::string worker_of(const pool_stand_in& pool)
+std::string worker_of(const simulated_pool& pool)
 {
     return pool.running_on("w0") > 0 ? "w0" : "w1";
 }
@@ -27,11 +27,11 @@
 
 // When a leader's links recover, its workers answer one after the other; the first answer proves nothing
 // about the others.
-BOOST_AUTO_TEST_CASE(the_first_worker_that_answers_again_does_not_condemn_the_others)
+BOOST_AUTO_TEST_CASE(the_first_worker_to_answer_again_does_not_make_others_lost)
 {
     for (int more = 0; more < 1000; more += 50)
     {
-        pool_stand_in pool(small_pool_settings(4));
+        simulated_pool pool(small_pool_settings(4));
         pool.start_leader();
         pool.run(seconds(1));
         std::vector<submission_id> all;
@@ -41,9 +41,9 @@
             pool.run(milliseconds(90));
         }
         pool.run(milliseconds(1200)); // some runs have ended, others end while their workers are unresponsive
-        set_dark(pool, 4, true);
+        set_unresponsive(pool, 4, true);
         pool.run(seconds(15) + milliseconds(more));
-        set_dark(pool, 4, false);
+        set_unresponsive(pool, 4, false);
         pool.run(seconds(8));
         BOOST_TEST(pool.leader().counters().lost_workers == 0U,
                    "unresponsive for 15 s and " << more << " ms");
@@ -52,21 +52,21 @@
             BOOST_TEST((pool.phase(id) == submission_phase::completed));
             BOOST_TEST(pool.starts_of(task_ref{{id}, 0}) == 1U);
         }
-        check_unbroken(pool);
+        check_invariants(pool);
     }
 }
 
 // One failed connection attempt (its first packet is lost) is no reason to drop a worker that is not polled
 // again for the duration of its lease.
-BOOST_AUTO_TEST_CASE(one_lost_connection_does_not_condemn_a_worker_that_is_not_asked_again)
+BOOST_AUTO_TEST_CASE(one_lost_connection_does_not_lose_an_unpolled_worker)
 {
-    pool_stand_in pool(small_pool_settings(2));
+    simulated_pool pool(small_pool_settings(2));
     pool.start_leader();
     pool.run(seconds(1));
     const submission_id id = pool.submit("plain", {make_step(1, 1000, 1000)});
     pool.run(milliseconds(200));
     const std::string at = worker_of(pool);
-    pool.unlead();
+    pool.stop_leader();
     pool.run(milliseconds(300));
     pool.faults(at).unresponsive = true;
     pool.start_leader();
@@ -79,17 +79,17 @@
     BOOST_TEST(pool.leader().counters().lost_workers == 0U);
     BOOST_TEST((pool.phase(id) == submission_phase::completed));
     BOOST_TEST(pool.starts_of(task_ref{{id}, 0}) == 1U);
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 
 // A start order that was not sent does not bind its task to the worker, however long that worker cannot be
 // polled.
-BOOST_AUTO_TEST_CASE(a_task_whose_orders_never_left_does_not_wait_for_a_worker_that_is_not_asked)
+BOOST_AUTO_TEST_CASE(a_task_whose_orders_were_not_sent_does_not_wait_for_an_unpolled_worker)
 {
     for (int delay = 0; delay <= 2400; delay += 100)
     {
         pool_settings settings = small_pool_settings(2);
-        pool_stand_in pool(settings);
+        simulated_pool pool(settings);
         pool.start_leader();
         pool.run(seconds(1));
         const submission_id first = pool.submit("plain", {make_step(1, 16000, 4000)});
@@ -102,6 +102,6 @@
         pool.run(seconds(8));
         BOOST_TEST((pool.phase(first) == submission_phase::completed));
         BOOST_TEST((pool.phase(id) == submission_phase::completed), "submitted after " << delay << " ms");
-        check_unbroken(pool);
+        check_invariants(pool);
     }
 }
--- a/tests/src/unit-dispatch.cpp
+++ b/tests/src/unit-dispatch.cpp
@@ -7,9 +7,9 @@
 using namespace walkthread;
 using namespace walkthread::test;
 
-BOOST_AUTO_TEST_CASE(work_of_every_kind_is_done_once)
+BOOST_AUTO_TEST_CASE(every_kind_of_task_completes_once)
 {
-    pool_stand_in pool(small_pool_settings());
+    simulated_pool pool(small_pool_settings());
     pool.start_leader();
     std::vector<submission_id> all;
     step_spec second = make_step(3, 2000, 500);
@@ -28,12 +28,12 @@
                                                                         << ' ' << name_of(pool.phase(id)));
     }
     BOOST_TEST(pool.starts_of({{all.front(), round_id{0}, 0}, 0}) == 1U);
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 
 BOOST_AUTO_TEST_CASE(an_urgent_submission_starts_within_a_question_and_two_commits)
 {
-    pool_stand_in pool(small_pool_settings());
+    simulated_pool pool(small_pool_settings());
     pool.start_leader();
     pool.run(seconds(1));
     const submission_id id = pool.submit("urgent", {make_step(2, 1400, 300)});
@@ -41,14 +41,14 @@
     BOOST_TEST(pool.starts_of({{id, round_id{0}, 0}, 0}) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_new_leader_takes_running_work_over)
+BOOST_AUTO_TEST_CASE(a_new_leader_takes_over_running_tasks)
 {
-    pool_stand_in pool(small_pool_settings());
+    simulated_pool pool(small_pool_settings());
     pool.start_leader();
     pool.run(seconds(1));
     const submission_id id = pool.submit("plain", {make_step(12, 2000, 3000)});
     pool.run(milliseconds(500));
-    pool.unlead();
+    pool.stop_leader();
     pool.run(milliseconds(1200));
     pool.start_leader();
     pool.run(seconds(6));
@@ -57,12 +57,12 @@
     {
         BOOST_TEST(pool.starts_of({{id, round_id{0}, 0}, i}) == 1U);
     }
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 
-BOOST_AUTO_TEST_CASE(a_dark_worker_gives_its_work_back_only_after_its_lease)
+BOOST_AUTO_TEST_CASE(tasks_of_an_unresponsive_worker_restart_only_after_its_lease)
 {
-    pool_stand_in pool(small_pool_settings(2));
+    simulated_pool pool(small_pool_settings(2));
     pool.start_leader();
     pool.run(seconds(1));
     const submission_id id = pool.submit("plain", {make_step(8, 4000, 2000)});
@@ -71,12 +71,12 @@
     pool.run(seconds(20));
     BOOST_TEST((pool.phase(id) == submission_phase::completed));
     BOOST_TEST(pool.leader().counters().lost_workers == 1U);
-    check_unbroken(pool); // includes: no two runs at once while the lease holds
+    check_invariants(pool); // includes: no two runs at once while the lease holds
 }
 
-BOOST_AUTO_TEST_CASE(a_new_life_of_a_host_gives_its_work_back_at_once)
+BOOST_AUTO_TEST_CASE(tasks_restart_at_once_after_a_worker_restart)
 {
-    pool_stand_in pool(small_pool_settings(2));
+    simulated_pool pool(small_pool_settings(2));
     pool.start_leader();
     pool.run(seconds(1));
     const submission_id id = pool.submit("plain", {make_step(4, 4000, 1000)});
@@ -84,12 +84,12 @@
     pool.crash("w0", "w0-again");
     pool.run(milliseconds(3000));
     BOOST_TEST((pool.phase(id) == submission_phase::completed));
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 
 BOOST_AUTO_TEST_CASE(orders_carried_out_late_start_nothing_twice)
 {
-    pool_stand_in pool(small_pool_settings(6));
+    simulated_pool pool(small_pool_settings(6));
     for (int i = 0; i < 6; ++i)
     {
         pool.faults("w" + std::to_string(i)).late = 0.5;
@@ -106,12 +106,12 @@
     {
         BOOST_TEST((pool.phase(id) == submission_phase::completed));
     }
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 
 BOOST_AUTO_TEST_CASE(a_draining_worker_gets_nothing_new)
 {
-    pool_stand_in pool(small_pool_settings(3));
+    simulated_pool pool(small_pool_settings(3));
     pool.start_leader();
     pool.run(seconds(1));
     pool.report("w0", true, 60'000);
@@ -127,7 +127,7 @@
 
 BOOST_AUTO_TEST_CASE(a_worker_that_fails_everything_is_avoided)
 {
-    pool_stand_in pool(small_pool_settings(6));
+    simulated_pool pool(small_pool_settings(6));
     pool.faults("w0").fails_all = true;
     pool.start_leader();
     pool.run(seconds(1));
@@ -142,12 +142,12 @@
 
 BOOST_AUTO_TEST_CASE(a_submission_that_always_fails_ends_as_failed)
 {
-    pool_stand_in pool(small_pool_settings(6));
+    simulated_pool pool(small_pool_settings(6));
     pool.start_leader();
     pool.run(seconds(1));
     const submission_id single = pool.submit("plain", {make_step(1, 1000, 300)});
     const submission_id gang = pool.submit("gangs", {make_step(4, 4500, 500, true)});
-    pool.always_fails = {single, gang};
+    pool.failing_submissions = {single, gang};
     pool.run(seconds(20));
     BOOST_TEST((pool.phase(single) == submission_phase::failed));
     BOOST_TEST((pool.phase(gang) == submission_phase::failed));
@@ -160,11 +160,11 @@
 {
     pool_settings settings = small_pool_settings(4);
     settings.good_share = 1.0;
-    pool_stand_in pool(settings);
+    simulated_pool pool(settings);
     pool.start_leader();
     pool.run(seconds(1));
     const submission_id gang = pool.submit("gangs", {make_step(9, 4500, 500, true)});
-    pool.always_fails = {gang};
+    pool.failing_submissions = {gang};
     pool.run(seconds(15));
     BOOST_TEST((pool.phase(gang) == submission_phase::failed));
 }
@@ -174,7 +174,7 @@
 {
     pool_settings settings = small_pool_settings(16);
     settings.good_share = 0.4;
-    pool_stand_in pool(settings);
+    simulated_pool pool(settings);
     pool.start_leader();
     pool.run(seconds(1));
     std::vector<submission_id> gangs;
@@ -195,13 +195,13 @@
         done += pool.phase(id) == submission_phase::completed ? 1 : 0;
     }
     BOOST_TEST(done >= 9U); // of ten
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 
 // Stops were repeated in each pass for runs that had already ended: 3,000 in 30 s.
 BOOST_AUTO_TEST_CASE(an_ended_run_of_a_cancelled_submission_is_not_stopped_again)
 {
-    pool_stand_in pool(small_pool_settings(4));
+    simulated_pool pool(small_pool_settings(4));
     pool.start_leader();
     pool.run(seconds(1));
     step_spec long_running = make_step(3, 1000, 0);
@@ -221,7 +221,7 @@
 // a rejection, and the run was wrongly treated as never started.
 BOOST_AUTO_TEST_CASE(a_start_that_was_sent_twice_is_not_taken_for_refused)
 {
-    pool_stand_in pool(small_pool_settings(3));
+    simulated_pool pool(small_pool_settings(3));
     for (int i = 0; i < 3; ++i)
     {
         pool.faults("w" + std::to_string(i)).resets = true;
@@ -239,12 +239,12 @@
         BOOST_TEST((pool.phase(id) == submission_phase::completed));
         BOOST_TEST(pool.starts_of({{id, round_id{0}, 0}, 0}) == 1U);
     }
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 
-BOOST_AUTO_TEST_CASE(a_run_that_stands_still_is_started_elsewhere)
+BOOST_AUTO_TEST_CASE(a_stalled_run_is_started_elsewhere)
 {
-    pool_stand_in pool(small_pool_settings(4));
+    simulated_pool pool(small_pool_settings(4));
     pool.faults("w0").runs_hang = true;
     pool.start_leader();
     pool.run(seconds(1));
@@ -258,12 +258,12 @@
     {
         BOOST_TEST((pool.phase(id) == submission_phase::completed));
     }
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 
-BOOST_AUTO_TEST_CASE(lasting_tasks_come_back_after_their_worker_died)
+BOOST_AUTO_TEST_CASE(lasting_tasks_restart_after_their_worker_died)
 {
-    pool_stand_in pool(small_pool_settings(3));
+    simulated_pool pool(small_pool_settings(3));
     pool.start_leader();
     pool.run(seconds(1));
     step_spec long_running = make_step(3, 4000, 0);
@@ -275,16 +275,16 @@
     pool.run(seconds(3));
     BOOST_TEST(pool.state().find(id)->active == 3U);
     BOOST_TEST(pool.running_on("w1-again") == 1U);
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 
 // A task that fails while all other hosts of its step are at their limit must go to a host that has none yet.
 // Previously the advisor was repeatedly queried about the hosts at their limit.
-BOOST_AUTO_TEST_CASE(a_lasting_task_comes_back_beside_a_limit_a_host)
+BOOST_AUTO_TEST_CASE(a_lasting_task_restarts_despite_a_per_host_limit)
 {
     pool_settings settings = small_pool_settings(20);
     settings.good_share = 1.0;
-    pool_stand_in pool(settings);
+    simulated_pool pool(settings);
     pool.start_leader();
     pool.run(seconds(1));
     step_spec long_running = make_step(8, 1000, 0);
@@ -295,17 +295,17 @@
     BOOST_TEST(pool.state().find(id)->active == 8U);
     pool.run(seconds(3));
     BOOST_TEST(pool.running_on("w15") == 1U);
-    pool.fail_one("w15");
+    pool.fail_one_run("w15");
     pool.run(seconds(1));
     BOOST_TEST(pool.state().find(id)->active == 8U);
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 
 // A lost poll leaves the leader without information about a worker, and about runs that ended there, for 1.9
 // s.
-BOOST_AUTO_TEST_CASE(ends_are_seen_soon_although_looks_get_lost)
+BOOST_AUTO_TEST_CASE(ends_are_seen_soon_despite_lost_polls)
 {
-    pool_stand_in pool(small_pool_settings());
+    simulated_pool pool(small_pool_settings());
     pool.start_leader();
     pool.run(seconds(1));
     for (int i = 0; i < 8; ++i)
@@ -328,14 +328,14 @@
     }
     BOOST_TEST(open.size() < 20U);
     BOOST_TEST(late < 15U); // one in twenty; 77 with long polls
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 
 // Combined faults generated from seeds: delayed orders, refusals, unresponsive, crashing and failing workers,
 // and leader changes.
 namespace
 {
-void play_random_days(std::uint64_t first, std::uint64_t count, const mechanism_set& mechanisms)
+void run_random_scenarios(std::uint64_t first, std::uint64_t count, const mechanism_set& mechanisms)
 {
     for (std::uint64_t seed = first; seed < first + count; ++seed)
     {
@@ -343,8 +343,8 @@
         settings.seed = seed;
         settings.mechanisms = mechanisms;
         settings.good_share = 0.85; // so that enough hosts are approved for each gang
-        pool_stand_in pool(settings);
-        const standstill_check stalls(pool);
+        simulated_pool pool(settings);
+        const stall_check stalls(pool);
         std::mt19937_64 random(seed * 977);
         const auto draw = [&random](std::uint64_t below)
         {
@@ -383,7 +383,7 @@
                 break;
             }
             case 4:
-                pool.unlead();
+                pool.stop_leader();
                 pool.run(milliseconds(300 + draw(2500)));
                 pool.start_leader();
                 break;
@@ -435,7 +435,7 @@
         pool.run(seconds(90));
         BOOST_TEST_CONTEXT("seed " << seed)
         {
-            check_unbroken(pool);
+            check_invariants(pool);
             stalls.check();
             for (const submission_id id : all)
             {
@@ -448,13 +448,13 @@
 }
 } // namespace
 
-BOOST_AUTO_TEST_CASE(random_days_start_nothing_twice_and_finish)
+BOOST_AUTO_TEST_CASE(random_scenarios_start_nothing_twice_and_finish)
 {
-    play_random_days(first_seed(), seed_count(60), {});
+    run_random_scenarios(first_seed(), seed_count(60), {});
 }
 
 // Mechanisms are policies: with any of them off, no task runs twice and every submission ends.
-BOOST_AUTO_TEST_CASE(random_days_hold_with_any_mechanism_off)
+BOOST_AUTO_TEST_CASE(random_scenarios_hold_with_any_mechanism_off)
 {
     mechanism_set none;
     for (std::size_t i = 0; i < mechanism_names.size(); ++i)
@@ -464,12 +464,12 @@
         none.switch_off(static_cast<mechanism>(i));
         BOOST_TEST_CONTEXT("off: " << without.off_names())
         {
-            play_random_days(first_seed(), seed_count(8), without);
+            run_random_scenarios(first_seed(), seed_count(8), without);
         }
     }
     BOOST_TEST_CONTEXT("off: all")
     {
-        play_random_days(first_seed(), seed_count(8), none);
+        run_random_scenarios(first_seed(), seed_count(8), none);
     }
 }
 
--- a/tests/src/unit-fleet-connections.cpp
+++ b/tests/src/unit-fleet-connections.cpp
@@ -14,14 +14,14 @@
 namespace
 {
 // The same ratio of workers to connections as with 3,000 workers, a third of which have tasks.
-pool_settings crowded()
+pool_settings more_workers_than_connections()
 {
     pool_settings settings = small_pool_settings(300);
     settings.poll_connections = 116;
     return settings;
 }
 
-void hand_in(narrow_pool& pool, std::vector<submission_id>& all, int steps)
+void submit_steadily(limited_connection_pool& pool, std::vector<submission_id>& all, int steps)
 {
     for (int i = 0; i < steps; ++i)
     {
@@ -31,7 +31,7 @@
 }
 
 // Runs a task on one of two workers, which then cannot be polled for longer than any lease.
-void leave_unasked(pool_stand_in& pool, const std::function<void()>& meanwhile)
+void leave_unpolled(simulated_pool& pool, const std::function<void()>& meanwhile)
 {
     pool.start_leader();
     pool.run(seconds(1));
@@ -45,37 +45,37 @@
     pool.run(seconds(3));
     BOOST_TEST((pool.phase(id) == submission_phase::completed));
     BOOST_TEST(pool.starts_of(task_ref{{id}, 0}) == 1);
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_worker_that_was_not_asked_is_not_given_up)
+BOOST_AUTO_TEST_CASE(an_unpolled_worker_is_not_given_up)
 {
-    pool_stand_in pool(small_pool_settings(2));
-    leave_unasked(pool, [] {});
+    simulated_pool pool(small_pool_settings(2));
+    leave_unpolled(pool, [] {});
 }
 
-BOOST_AUTO_TEST_CASE(a_new_leader_gives_up_no_worker_that_it_could_not_ask)
+BOOST_AUTO_TEST_CASE(a_new_leader_gives_up_no_unpolled_worker)
 {
-    pool_stand_in pool(small_pool_settings(2));
-    leave_unasked(pool,
-                  [&pool]
-                  {
-                      pool.unlead();
-                      pool.run(milliseconds(700));
-                      pool.start_leader();
-                  });
+    simulated_pool pool(small_pool_settings(2));
+    leave_unpolled(pool,
+                   [&pool]
+                   {
+                       pool.stop_leader();
+                       pool.run(milliseconds(700));
+                       pool.start_leader();
+                   });
 }
 
 BOOST_AUTO_TEST_CASE(connections_fewer_than_workers_stay_with_those_that_have_work)
 {
-    narrow_pool pool(crowded());
-    const standstill_check stalls(pool);
+    limited_connection_pool pool(more_workers_than_connections());
+    const stall_check stalls(pool);
     pool.start_leader();
     pool.run(seconds(4));
     std::vector<submission_id> all;
     const std::size_t before = pool.connections_opened();
-    hand_in(pool, all, 300); // 18 s
+    submit_steadily(pool, all, 300); // 18 s
     const double opened_a_second = static_cast<double>(pool.connections_opened() - before) / 18.0;
     BOOST_TEST(opened_a_second < 0.2 * 300); // 600 at 3,000 workers, which the processor can handle
     pool.run(seconds(6));
@@ -83,18 +83,18 @@
     {
         BOOST_TEST((pool.phase(id) == submission_phase::completed));
     }
-    check_unbroken(pool);
+    check_invariants(pool);
     stalls.check();
 }
 
 BOOST_AUTO_TEST_CASE(ends_are_seen_as_soon_with_few_connections)
 {
-    narrow_pool pool(crowded());
-    const standstill_check stalls(pool);
+    limited_connection_pool pool(more_workers_than_connections());
+    const stall_check stalls(pool);
     pool.start_leader();
     pool.run(seconds(4));
     std::vector<submission_id> all;
-    hand_in(pool, all, 100);
+    submit_steadily(pool, all, 100);
     std::size_t late = 0;
     for (int i = 0; i < 100; ++i)
     {
@@ -103,6 +103,6 @@
         late += pool.phase(id) == submission_phase::completed ? 0 : 1;
     }
     BOOST_TEST(late < 10U); // one in ten
-    check_unbroken(pool);
+    check_invariants(pool);
     stalls.check();
 }
--- a/tests/src/unit-gangs.cpp
+++ b/tests/src/unit-gangs.cpp
@@ -16,7 +16,7 @@
     return settings;
 }
 
-std::size_t count_done(const pool_stand_in& pool, const std::vector<submission_id>& all)
+std::size_t count_done(const simulated_pool& pool, const std::vector<submission_id>& all)
 {
     std::size_t done = 0;
     for (const submission_id id : all)
@@ -39,7 +39,7 @@
 // A third of the cores was idle on hosts held whole for gangs.
 BOOST_AUTO_TEST_CASE(gangs_fill_the_pool)
 {
-    pool_stand_in pool(with_workers(24, 0.4));
+    simulated_pool pool(with_workers(24, 0.4));
     pool.start_leader();
     pool.run(seconds(2));
     std::vector<submission_id> gangs;
@@ -56,7 +56,7 @@
 // Urgent tasks took the capacity held by gangs, which then requested tickets ten times over.
 BOOST_AUTO_TEST_CASE(gangs_start_beside_a_stream_of_urgent_tasks)
 {
-    pool_stand_in pool(with_workers(24, 0.5));
+    simulated_pool pool(with_workers(24, 0.5));
     pool.start_leader();
     pool.run(seconds(2));
     std::vector<submission_id> gangs;
@@ -81,7 +81,7 @@
 // Late tasks were never considered behind 60 gangs that could not start.
 BOOST_AUTO_TEST_CASE(late_tasks_start_behind_many_gangs_that_wait)
 {
-    pool_stand_in pool(with_workers(8, 1.0));
+    simulated_pool pool(with_workers(8, 1.0));
     pool.start_leader();
     pool.run(seconds(2));
     for (int i = 0; i < 150; ++i)
@@ -90,7 +90,7 @@
     }
     const submission_id late = pool.submit("urgent", {make_step(1, 1000, 100)});
     pool.run(milliseconds(100));
-    pool.unlead(); // long enough for it to be late
+    pool.stop_leader(); // long enough for it to be late
     pool.run(seconds(9));
     pool.start_leader();
     pool.run(seconds(8));
@@ -102,7 +102,7 @@
 BOOST_AUTO_TEST_CASE(late_gangs_start_soon_on_an_idle_pool)
 {
     pool_settings settings = with_workers(60, 0.3);
-    pool_stand_in pool(settings);
+    simulated_pool pool(settings);
     pool.start_leader();
     pool.run(seconds(2));
     std::vector<submission_id> gangs;
@@ -111,7 +111,7 @@
         gangs.push_back(pool.submit("gangs", {make_step(4, 4500, 300, true)}));
     }
     pool.run(milliseconds(100));
-    pool.unlead(); // until all are late and the advice has been lost
+    pool.stop_leader(); // until all are late and the advice has been lost
     pool.run(seconds(10));
     pool.start_leader();
     pool.run(milliseconds(4500));
@@ -119,7 +119,7 @@
 }
 
 // Once capacity is free for waiting tasks or a gang, they start without another advisor query.
-BOOST_AUTO_TEST_CASE(what_waits_keeps_its_tickets)
+BOOST_AUTO_TEST_CASE(waiting_tasks_keep_their_tickets)
 {
     const auto time_to_start = [](const step_spec& step, bool kept)
     {
@@ -129,7 +129,7 @@
         {
             settings.mechanisms.switch_off(mechanism::kept_tickets);
         }
-        pool_stand_in pool(settings);
+        simulated_pool pool(settings);
         pool.start_leader();
         pool.run(seconds(2));
         const submission_id first = pool.submit("gangs", {step});
@@ -159,7 +159,7 @@
 {
     pool_settings settings = with_workers(24, 0.8);
     settings.slow_worker_interval = 3;
-    pool_stand_in pool(settings);
+    simulated_pool pool(settings);
     pool.start_leader();
     pool.run(seconds(2));
     for (int i = 0; i < 200; ++i) // learns speeds: enough tasks that every host has some
@@ -196,7 +196,7 @@
         pool_settings settings = with_workers(24, 0.6);
         settings.question = milliseconds(700);
         settings.tickets_valid_from_question = from_question;
-        pool_stand_in pool(settings);
+        simulated_pool pool(settings);
         pool.start_leader();
         pool.run(seconds(2));
         std::vector<submission_id> gangs;
@@ -223,7 +223,7 @@
 // Callers read right after their last task has ended; the read is answered once that end is committed.
 BOOST_AUTO_TEST_CASE(a_read_behind_an_end_waits_for_its_commit)
 {
-    pool_stand_in pool(with_workers(4, 1.0));
+    simulated_pool pool(with_workers(4, 1.0));
     pool.start_leader();
     pool.run(seconds(2));
     const submission_id id = pool.submit("plain", {make_step(1, 1000, 300)});
@@ -248,7 +248,7 @@
 
 BOOST_AUTO_TEST_CASE(reads_that_wait_are_answered_when_leadership_ends)
 {
-    pool_stand_in pool(with_workers(4, 1.0));
+    simulated_pool pool(with_workers(4, 1.0));
     pool.start_leader();
     pool.run(seconds(2));
     const submission_id id = pool.submit("plain", {make_step(1, 1000, 300)});
@@ -269,6 +269,6 @@
         }
     }
     BOOST_TEST(told + 1 == asked);
-    pool.unlead();
+    pool.stop_leader();
     BOOST_TEST(told == asked);
 }
--- a/tests/src/unit-lives.cpp
+++ b/tests/src/unit-lives.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 // Fills one of two hosts with four tasks of 2.5 s.
-submission_id occupy(pool_stand_in& pool, const std::string& incarnation)
+submission_id fill_worker(simulated_pool& pool, const std::string& incarnation)
 {
     pool.report("w1", true);
     const submission_id id = pool.submit("plain", {make_step(4, 4000, 2500)});
@@ -23,22 +23,22 @@
     return id;
 }
 
-void check_started_once(pool_stand_in& pool, submission_id id)
+void check_started_once(simulated_pool& pool, submission_id id)
 {
     BOOST_TEST((pool.phase(id) == submission_phase::completed));
     for (std::uint32_t i = 0; i < 4; ++i)
     {
         BOOST_TEST(pool.starts_of({{id, round_id{0}, 0}, i}) == 1U);
     }
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 } // namespace
 
 // The leader learns of the new incarnation first from the address itself and then from its report. After
 // that, a report of the former incarnation arrives.
-BOOST_AUTO_TEST_CASE(a_late_report_of_a_life_that_ended_unheard_changes_nothing)
+BOOST_AUTO_TEST_CASE(a_late_report_of_an_unreported_former_incarnation_is_ignored)
 {
-    pool_stand_in pool(small_pool_settings(2));
+    simulated_pool pool(small_pool_settings(2));
     pool.start_leader();
     pool.run(seconds(1));
     pool.crash("w0", "w0-again", false);
@@ -46,15 +46,15 @@
     pool.faults("w0-again").reports_lost = false;
     pool.report("w0-again", false);
     pool.run(seconds(1));
-    const submission_id id = occupy(pool, "w0-again");
+    const submission_id id = fill_worker(pool, "w0-again");
     pool.report("w0", false);
     pool.run(seconds(6));
     check_started_once(pool, id);
 }
 
-BOOST_AUTO_TEST_CASE(a_late_report_changes_nothing_under_the_next_leader_either)
+BOOST_AUTO_TEST_CASE(a_late_report_is_ignored_by_the_next_leader)
 {
-    pool_stand_in pool(small_pool_settings(2));
+    simulated_pool pool(small_pool_settings(2));
     pool.start_leader();
     pool.run(seconds(1));
     pool.crash("w0", "w0-again", false);
@@ -62,7 +62,7 @@
     pool.faults("w0-again").reports_lost = false;
     pool.report("w0-again", false);
     pool.run(seconds(1));
-    const submission_id id = occupy(pool, "w0-again");
+    const submission_id id = fill_worker(pool, "w0-again");
     pool.start_leader();
     pool.report("w0", false);
     pool.run(seconds(6));
@@ -70,27 +70,27 @@
 }
 
 // The first report of a former incarnation arrives only after its successor has tasks.
-BOOST_AUTO_TEST_CASE(a_first_report_that_comes_late_changes_nothing)
+BOOST_AUTO_TEST_CASE(a_delayed_first_report_is_ignored)
 {
-    pool_stand_in pool(small_pool_settings(2));
+    simulated_pool pool(small_pool_settings(2));
     pool.start_leader();
     pool.run(seconds(1));
     pool.crash("w0", "w0-unheard", false);
     pool.crash("w0-unheard", "w0-again");
     pool.run(seconds(1));
-    const submission_id id = occupy(pool, "w0-again");
+    const submission_id id = fill_worker(pool, "w0-again");
     pool.report("w0-unheard", false);
     pool.run(seconds(6));
     check_started_once(pool, id);
 }
 
 // An incarnation whose address does not answer yet must not replace the running one.
-BOOST_AUTO_TEST_CASE(a_life_that_does_not_answer_replaces_nobody)
+BOOST_AUTO_TEST_CASE(an_unresponsive_incarnation_replaces_none)
 {
-    pool_stand_in pool(small_pool_settings(2));
+    simulated_pool pool(small_pool_settings(2));
     pool.start_leader();
     pool.run(seconds(1));
-    const submission_id id = occupy(pool, "w0");
+    const submission_id id = fill_worker(pool, "w0");
     pool.add_worker("w0-silent", "h0", false);
     pool.faults("w0-silent").unresponsive = true;
     pool.report("w0-silent", false);
@@ -106,7 +106,7 @@
 // until it reported there too, 2.9 s after the change.
 BOOST_AUTO_TEST_CASE(a_worker_that_leaves_gets_nothing_new_from_the_next_leader)
 {
-    pool_stand_in pool(small_pool_settings(3));
+    simulated_pool pool(small_pool_settings(3));
     pool.start_leader();
     pool.run(seconds(1));
     pool.report("w0", true, 60'000);
@@ -127,7 +127,7 @@
 // revoke it.
 BOOST_AUTO_TEST_CASE(that_a_worker_leaves_is_replicated)
 {
-    pool_stand_in pool(small_pool_settings(2));
+    simulated_pool pool(small_pool_settings(2));
     pool.start_leader();
     pool.run(seconds(1));
     const worker_incarnation& incarnation = *pool.state().find_id("w0");
@@ -148,12 +148,12 @@
 // ---------------------------------------------------------------------------------------------------------
 
 // Running tasks continue; no new task is started there until it fits.
-BOOST_AUTO_TEST_CASE(a_room_that_shrinks_takes_nothing_new_until_there_is_room_again)
+BOOST_AUTO_TEST_CASE(a_shrunk_worker_gets_no_tasks_until_they_fit)
 {
-    pool_stand_in pool(small_pool_settings(2));
+    simulated_pool pool(small_pool_settings(2));
     pool.start_leader();
     pool.run(seconds(1));
-    const submission_id first = occupy(pool, "w0");
+    const submission_id first = fill_worker(pool, "w0");
     pool.resize("w0", {8000, 65536, 0, 0});
     pool.resize("w1", {4000, 65536, 0, 0});
     pool.report("w0", false);
@@ -166,17 +166,17 @@
     pool.run(seconds(10));
     BOOST_TEST((pool.phase(first) == submission_phase::completed));
     BOOST_TEST((pool.phase(second) == submission_phase::completed));
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 
-BOOST_AUTO_TEST_CASE(an_older_report_does_not_put_an_older_room_back)
+BOOST_AUTO_TEST_CASE(an_older_report_does_not_restore_an_older_capacity)
 {
     for (const bool next_leader : {false, true})
     {
-        pool_stand_in pool(small_pool_settings(1));
+        simulated_pool pool(small_pool_settings(1));
         pool.start_leader();
         pool.run(seconds(1));
-        const worker_report held_back = pool.write_report("w0", false);
+        const worker_report held_back = pool.make_report("w0", false);
         pool.resize("w0", {4000, 65536, 0, 0});
         pool.report("w0", false);
         pool.run(milliseconds(50));
@@ -193,7 +193,7 @@
         BOOST_TEST(pool.running_on("w0") == 1U);
         pool.run(seconds(10));
         BOOST_TEST((pool.phase(id) == submission_phase::completed));
-        check_unbroken(pool);
+        check_invariants(pool);
     }
 }
 
@@ -236,7 +236,7 @@
 }
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_snapshot_without_births_still_loads)
+BOOST_AUTO_TEST_CASE(a_snapshot_without_birth_times_loads)
 {
     workload_state state;
     BOOST_REQUIRE(state.load(bytes_of(snapshot_without_births)));
--- a/tests/src/unit-lost-workers.cpp
+++ b/tests/src/unit-lost-workers.cpp
@@ -12,10 +12,10 @@
 namespace
 {
 // Longer than any possible lease plus a drop, its commit and a start elsewhere.
-constexpr seconds given_up_by{12};
+constexpr seconds worker_loss_bound{12};
 constexpr seconds run_time{4}; // of the tasks here, with a advisor query and a start
 
-std::vector<std::string> workers_with_runs(const pool_stand_in& pool, std::size_t workers)
+std::vector<std::string> workers_with_runs(const simulated_pool& pool, std::size_t workers)
 {
     std::vector<std::string> out;
     for (std::size_t i = 0; i < workers; ++i)
@@ -30,66 +30,66 @@
 }
 
 // One of the workers with runs is lost while there is no leader.
-void lose_one_between_leaders(pool_stand_in& pool, std::size_t workers, bool refuses_connections)
+void remove_worker_between_leaders(simulated_pool& pool, std::size_t workers, bool refuses_connections)
 {
     const std::vector<std::string> busy = workers_with_runs(pool, workers);
     BOOST_REQUIRE(!busy.empty());
-    pool.unlead();
+    pool.stop_leader();
     pool.remove_worker(busy.front(), refuses_connections);
     pool.run(milliseconds(700));
     pool.start_leader();
 }
 
-void play_single_tasks(bool refuses_connections)
+void run_single_tasks(bool refuses_connections)
 {
-    pool_stand_in pool(small_pool_settings(8));
+    simulated_pool pool(small_pool_settings(8));
     pool.start_leader();
     pool.run(seconds(1));
     const submission_id id = pool.submit("plain", {make_step(16, 4000, 3000)});
     pool.run(milliseconds(500));
-    lose_one_between_leaders(pool, 8, refuses_connections);
-    pool.run(given_up_by + run_time);
+    remove_worker_between_leaders(pool, 8, refuses_connections);
+    pool.run(worker_loss_bound + run_time);
     BOOST_TEST((pool.phase(id) == submission_phase::completed));
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 
-void play_gang(bool refuses_connections)
+void run_gang(bool refuses_connections)
 {
-    pool_stand_in pool(small_pool_settings(8));
+    simulated_pool pool(small_pool_settings(8));
     pool.start_leader();
     pool.run(seconds(1));
     step_spec gang = make_step(6, 6000, 3000);
     gang.gang = true;
     const submission_id id = pool.submit("plain", {gang});
     pool.run(seconds(1));
-    lose_one_between_leaders(pool, 8, refuses_connections);
-    pool.run(given_up_by + run_time);
+    remove_worker_between_leaders(pool, 8, refuses_connections);
+    pool.run(worker_loss_bound + run_time);
     BOOST_TEST((pool.phase(id) == submission_phase::completed));
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 } // namespace
 
 BOOST_AUTO_TEST_CASE(a_new_leader_gives_up_a_worker_that_refuses_connections)
 {
-    play_single_tasks(true);
+    run_single_tasks(true);
 }
 
 BOOST_AUTO_TEST_CASE(a_new_leader_gives_up_a_worker_that_answers_no_connection)
 {
-    play_single_tasks(false);
+    run_single_tasks(false);
 }
 
 BOOST_AUTO_TEST_CASE(a_gang_runs_again_when_the_worker_of_a_member_is_gone)
 {
-    play_gang(true);
-    play_gang(false);
+    run_gang(true);
+    run_gang(false);
 }
 
 // A leader that reaches no worker is itself isolated: their runs may continue, and no other worker could take
 // over.
-BOOST_AUTO_TEST_CASE(a_leader_that_reaches_nobody_gives_up_nobody)
+BOOST_AUTO_TEST_CASE(a_leader_that_reaches_no_worker_gives_up_none)
 {
-    pool_stand_in pool(small_pool_settings(4));
+    simulated_pool pool(small_pool_settings(4));
     pool.start_leader();
     pool.run(seconds(1));
     const submission_id id = pool.submit("plain", {make_step(8, 4000, 1500)});
@@ -110,27 +110,27 @@
     {
         BOOST_TEST(pool.starts_of(task_ref{{id}, i}) == 1U);
     }
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 
 // The lease of a worker that rejects each poll is not renewed, so nothing runs there once it has expired.
-BOOST_AUTO_TEST_CASE(a_worker_that_rejects_every_look_is_given_up)
+BOOST_AUTO_TEST_CASE(a_worker_that_rejects_every_poll_is_given_up)
 {
-    pool_stand_in pool(small_pool_settings(8));
+    simulated_pool pool(small_pool_settings(8));
     pool.start_leader();
     pool.run(seconds(1));
     const submission_id id = pool.submit("plain", {make_step(16, 4000, 3000)});
     pool.run(milliseconds(500));
     pool.faults(workers_with_runs(pool, 8).front()).rejects_polls = true;
-    pool.run(given_up_by + run_time);
+    pool.run(worker_loss_bound + run_time);
     BOOST_TEST((pool.phase(id) == submission_phase::completed));
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 
 // A refused connection indicates that the worker is down: no more tasks are placed there until it responds.
 BOOST_AUTO_TEST_CASE(a_refused_order_keeps_further_work_away)
 {
-    pool_stand_in pool(small_pool_settings(8));
+    simulated_pool pool(small_pool_settings(8));
     pool.start_leader();
     pool.run(seconds(1));
     pool.remove_worker("w0", true);
@@ -146,16 +146,16 @@
         BOOST_TEST((pool.phase(id) == submission_phase::completed));
     }
     BOOST_TEST(pool.leader().counters().unsent_orders < 8U);
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 
 // A task whose start was unanswered waited for two polls, each held open for run ends that did not come.
-BOOST_AUTO_TEST_CASE(a_start_without_an_answer_is_settled_as_soon_as_its_worker_is_back)
+BOOST_AUTO_TEST_CASE(an_unanswered_start_is_resolved_once_its_worker_answers)
 {
-    const standstill_bounds bounds;
+    const stall_bounds bounds;
     pool_settings settings = small_pool_settings(2);
     settings.good_share = 1.0;
-    pool_stand_in pool(settings);
+    simulated_pool pool(settings);
     pool.start_leader();
     pool.run(seconds(1));
     const submission_id id = pool.submit("batch", {make_step(1, 980, 1000)});
@@ -188,9 +188,9 @@
     monotonic_time at{};
 };
 
-second_start play_second_start(const std::string& silent, monotonic_time since)
+second_start run_second_start(const std::string& silent, monotonic_time since)
 {
-    pool_stand_in pool(small_pool_settings(8));
+    simulated_pool pool(small_pool_settings(8));
     pool.start_leader();
     pool.run(seconds(1));
     const submission_id id = pool.submit("plain", {make_step(1, 4000, 2000)});
@@ -211,11 +211,11 @@
 
 // The task was restarted on a host that had become unresponsive a second before, and waited for a second
 // lease to expire.
-BOOST_AUTO_TEST_CASE(a_task_that_was_lost_goes_to_a_host_that_was_heard_just_now)
+BOOST_AUTO_TEST_CASE(a_lost_task_goes_to_a_recently_responsive_host)
 {
-    const second_start usual = play_second_start({}, {});
+    const second_start usual = run_second_start({}, {});
     const second_start with_silent =
-        play_second_start(usual.incarnation, usual.at - milliseconds(1150)); // polls are held open for 1 s
+        run_second_start(usual.incarnation, usual.at - milliseconds(1150)); // polls are held open for 1 s
     BOOST_TEST(with_silent.incarnation != usual.incarnation);
     BOOST_TEST((with_silent.at - usual.at < milliseconds(100)));
 }
--- a/tests/src/unit-never-back.cpp
+++ b/tests/src/unit-never-back.cpp
@@ -16,20 +16,20 @@
 
 namespace
 {
-enum class leader_trouble : std::uint8_t
+enum class leader_fault : std::uint8_t
 {
     replaced_at_once,
     replaced_late,
-    core_dark,
+    leaderless_for_long,
     frozen,
     frozen_and_replaced,
     cut_from_some,
     cut_from_all,
     none,
 };
-constexpr std::uint64_t leader_troubles = 8;
+constexpr std::uint64_t leader_fault_count = 8;
 
-enum class way_to_go : std::uint8_t
+enum class worker_departure : std::uint8_t
 {
     refuses_connections,
     silent,
@@ -37,7 +37,7 @@
     rack_silent,
     leaves,
 };
-constexpr std::uint64_t ways_to_go = 5;
+constexpr std::uint64_t worker_departure_count = 5;
 
 enum class load : std::uint8_t
 {
@@ -58,21 +58,21 @@
 class scenario
 {
   public:
-    scenario(load kind, std::uint64_t seed, bool limited_connections, leader_trouble fault)
+    scenario(load kind, std::uint64_t seed, bool limited_connections, leader_fault fault)
         : m_pool(settings(seed, limited_connections)), m_check(m_pool, bounds(limited_connections, fault)),
           m_load(kind), m_fault(fault), m_random(seed * 7919 + 13)
     {
     }
-    void execute(way_to_go departure)
+    void execute(worker_departure departure)
     {
         m_pool.start_leader();
         m_pool.run(seconds(1));
         submit_lasting();
         for (int episode = 0; episode < episodes; ++episode)
         {
-            work_for(seconds(2));
-            strike(m_fault, departure);
-            work_for(seconds(4));
+            submit_for(seconds(2));
+            inject_faults(m_fault, departure);
+            submit_for(seconds(4));
             m_pool.run(recovery_time);
         }
         m_pool.run(recovery_time);
@@ -90,10 +90,10 @@
     }
     // Idle workers are polled rarely and may be isolated unnoticed, so a task of a lost worker may be sent to
     // one.
-    static standstill_bounds bounds(bool limited_connections, leader_trouble fault)
+    static stall_bounds bounds(bool limited_connections, leader_fault fault)
     {
-        standstill_bounds out;
-        out.workers_in_a_row = limited_connections && fault == leader_trouble::cut_from_some ? 2 : 1;
+        stall_bounds out;
+        out.successive_lost_workers = limited_connections && fault == leader_fault::cut_from_some ? 2 : 1;
         return out;
     }
     std::uint64_t draw(std::uint64_t below)
@@ -140,7 +140,7 @@
             return;
         }
     }
-    void work_for(duration span)
+    void submit_for(duration span)
     {
         for (const monotonic_time end = m_pool.now() + span; m_pool.now() < end;)
         {
@@ -150,13 +150,13 @@
     }
 
     // The leader fault and the loss of workers come at about the same time, in either order.
-    void strike(leader_trouble fault, way_to_go departure)
+    void inject_faults(leader_fault fault, worker_departure departure)
     {
         const bool workers_first = draw(2) == 0;
         const milliseconds apart = between(0, 500);
-        if (departure == way_to_go::leaves)
+        if (departure == worker_departure::leaves)
         {
-            say_that_some_leave();
+            announce_leaving_workers();
         }
         if (workers_first)
         {
@@ -171,50 +171,50 @@
         }
         end_fault(fault);
     }
-    void begin_fault(leader_trouble fault)
+    void begin_fault(leader_fault fault)
     {
         switch (fault)
         {
-        case leader_trouble::replaced_at_once:
-        case leader_trouble::replaced_late:
-        case leader_trouble::core_dark:
-            m_pool.unlead();
+        case leader_fault::replaced_at_once:
+        case leader_fault::replaced_late:
+        case leader_fault::leaderless_for_long:
+            m_pool.stop_leader();
             return;
-        case leader_trouble::frozen:
-        case leader_trouble::frozen_and_replaced:
+        case leader_fault::frozen:
+        case leader_fault::frozen_and_replaced:
             m_pool.freeze_leader(between(1000, 7000));
             return;
-        case leader_trouble::cut_from_some:
-        case leader_trouble::cut_from_all:
+        case leader_fault::cut_from_some:
+        case leader_fault::cut_from_all:
             for (std::size_t i = 0; i < workers; ++i)
             {
-                if (fault == leader_trouble::cut_from_all || draw(2) == 0)
+                if (fault == leader_fault::cut_from_all || draw(2) == 0)
                 {
                     m_pool.isolate_worker(name(i), between(1000, 9000));
                 }
             }
             return;
-        case leader_trouble::none:
+        case leader_fault::none:
             return;
         }
     }
-    void end_fault(leader_trouble fault)
+    void end_fault(leader_fault fault)
     {
         switch (fault)
         {
-        case leader_trouble::replaced_at_once:
+        case leader_fault::replaced_at_once:
             m_pool.run(between(50, 500));
             m_pool.start_leader();
             return;
-        case leader_trouble::replaced_late:
+        case leader_fault::replaced_late:
             m_pool.run(between(1000, 4000));
             m_pool.start_leader();
             return;
-        case leader_trouble::core_dark:
+        case leader_fault::leaderless_for_long:
             m_pool.run(between(6000, 12000));
             m_pool.start_leader();
             return;
-        case leader_trouble::frozen_and_replaced:
+        case leader_fault::frozen_and_replaced:
             m_pool.run(between(300, 2000));
             m_pool.start_leader();
             return;
@@ -236,7 +236,7 @@
         }
         return out;
     }
-    void say_that_some_leave()
+    void announce_leaving_workers()
     {
         m_leaving = pick_workers(2 + draw(3));
         for (const std::string& incarnation : m_leaving)
@@ -263,11 +263,12 @@
         busy.resize(std::min({busy.size(), count, spare}));
         return busy;
     }
-    void remove_workers(way_to_go departure)
+    void remove_workers(worker_departure departure)
     {
-        const bool rack = departure == way_to_go::rack_refuses || departure == way_to_go::rack_silent;
+        const bool rack =
+            departure == worker_departure::rack_refuses || departure == worker_departure::rack_silent;
         std::vector<std::string> removed;
-        if (departure == way_to_go::leaves)
+        if (departure == worker_departure::leaves)
         {
             removed = m_leaving;
         }
@@ -283,9 +284,9 @@
         {
             removed = pick_workers(1 + draw(3));
         }
-        const bool refuses_connections = departure == way_to_go::refuses_connections ||
-                                         departure == way_to_go::rack_refuses ||
-                                         (departure == way_to_go::leaves && draw(2) == 0);
+        const bool refuses_connections = departure == worker_departure::refuses_connections ||
+                                         departure == worker_departure::rack_refuses ||
+                                         (departure == worker_departure::leaves && draw(2) == 0);
         for (const std::string& incarnation : removed)
         {
             if (!m_pool.workers().at(incarnation).terminated)
@@ -298,7 +299,7 @@
     void check_done()
     {
         m_check.check();
-        check_unbroken(m_pool);
+        check_invariants(m_pool);
         for (const submission_id id : m_all)
         {
             BOOST_TEST((m_pool.phase(id) == submission_phase::completed),
@@ -323,10 +324,10 @@
         return out;
     }
 
-    troubled_pool m_pool;
-    standstill_check m_check;
+    faulty_leader_pool m_pool;
+    stall_check m_check;
     load m_load;
-    leader_trouble m_fault;
+    leader_fault m_fault;
     std::mt19937_64 m_random;
     std::vector<submission_id> m_all;
     std::vector<submission_id> m_lasting;
@@ -334,80 +335,80 @@
 };
 
 // Each seed is one combination of faults; this many seeds cover all of them once.
-constexpr std::uint64_t fault_combinations = leader_troubles * ways_to_go;
+constexpr std::uint64_t fault_combinations = leader_fault_count * worker_departure_count;
 // Further seeds with which a task was stalled: an unanswered start, and two successive starts that were not
 // accepted.
-constexpr std::array<std::uint64_t, 4> found_seeds{70, 77, 111, 271};
+constexpr std::array<std::uint64_t, 4> regression_seeds{70, 77, 111, 271};
 
-void play_day(load kind, bool limited_connections, std::uint64_t seed)
+void run_scenario(load kind, bool limited_connections, std::uint64_t seed)
 {
-    BOOST_TEST_CONTEXT("seed " << seed << ", leader " << seed % leader_troubles << ", workers "
-                               << seed / leader_troubles % ways_to_go)
+    BOOST_TEST_CONTEXT("seed " << seed << ", leader " << seed % leader_fault_count << ", workers "
+                               << seed / leader_fault_count % worker_departure_count)
     {
-        scenario made(kind, seed, limited_connections, static_cast<leader_trouble>(seed % leader_troubles));
-        made.execute(static_cast<way_to_go>(seed / leader_troubles % ways_to_go));
+        scenario made(kind, seed, limited_connections, static_cast<leader_fault>(seed % leader_fault_count));
+        made.execute(static_cast<worker_departure>(seed / leader_fault_count % worker_departure_count));
     }
 }
 
-void play_days(load kind, bool limited_connections = false)
+void run_scenarios(load kind, bool limited_connections = false)
 {
     for (std::uint64_t seed = first_seed(); seed < first_seed() + seed_count(fault_combinations); ++seed)
     {
-        play_day(kind, limited_connections, seed);
+        run_scenario(kind, limited_connections, seed);
     }
     if (std::getenv("WALKTHREAD_SEEDS") != nullptr)
     {
         return;
     }
-    for (const std::uint64_t seed : found_seeds)
+    for (const std::uint64_t seed : regression_seeds)
     {
-        play_day(kind, limited_connections, seed);
+        run_scenario(kind, limited_connections, seed);
     }
 }
 } // namespace
 
-BOOST_AUTO_TEST_CASE(single_tasks_of_workers_that_never_come_back_go_on)
+BOOST_AUTO_TEST_CASE(single_tasks_of_permanently_lost_workers_complete)
 {
-    play_days(load::single_tasks);
+    run_scenarios(load::single_tasks);
 }
 
-BOOST_AUTO_TEST_CASE(gangs_of_workers_that_never_come_back_go_on)
+BOOST_AUTO_TEST_CASE(gangs_of_permanently_lost_workers_complete)
 {
-    play_days(load::gangs);
+    run_scenarios(load::gangs);
 }
 
-BOOST_AUTO_TEST_CASE(lasting_tasks_of_workers_that_never_come_back_go_on)
+BOOST_AUTO_TEST_CASE(lasting_tasks_of_permanently_lost_workers_restart)
 {
-    play_days(load::lasting_tasks);
+    run_scenarios(load::lasting_tasks);
 }
 
-BOOST_AUTO_TEST_CASE(advised_tasks_of_workers_that_never_come_back_go_on)
+BOOST_AUTO_TEST_CASE(advised_tasks_of_permanently_lost_workers_complete)
 {
-    play_days(load::advised);
+    run_scenarios(load::advised);
 }
 
-BOOST_AUTO_TEST_CASE(advised_gangs_of_workers_that_never_come_back_go_on)
+BOOST_AUTO_TEST_CASE(advised_gangs_of_permanently_lost_workers_complete)
 {
-    play_days(load::advised_gangs);
+    run_scenarios(load::advised_gangs);
 }
 
 // The leader has connections for polling less than half of its workers.
-BOOST_AUTO_TEST_CASE(work_goes_on_where_connections_are_fewer_than_workers)
+BOOST_AUTO_TEST_CASE(single_tasks_complete_with_fewer_connections_than_workers)
 {
-    play_days(load::single_tasks, true);
+    run_scenarios(load::single_tasks, true);
 }
 
-BOOST_AUTO_TEST_CASE(gangs_go_on_where_connections_are_fewer_than_workers)
+BOOST_AUTO_TEST_CASE(gangs_complete_with_fewer_connections_than_workers)
 {
-    play_days(load::gangs, true);
+    run_scenarios(load::gangs, true);
 }
 
-BOOST_AUTO_TEST_CASE(lasting_tasks_go_on_where_connections_are_fewer_than_workers)
+BOOST_AUTO_TEST_CASE(lasting_tasks_restart_with_fewer_connections_than_workers)
 {
-    play_days(load::lasting_tasks, true);
+    run_scenarios(load::lasting_tasks, true);
 }
 
-BOOST_AUTO_TEST_CASE(advised_tasks_go_on_where_connections_are_fewer_than_workers)
+BOOST_AUTO_TEST_CASE(advised_tasks_complete_with_fewer_connections_than_workers)
 {
-    play_days(load::advised, true);
+    run_scenarios(load::advised, true);
 }
--- a/tests/src/unit-pending.cpp
+++ b/tests/src/unit-pending.cpp
@@ -10,7 +10,7 @@
 
 namespace
 {
-void set_dark(pool_stand_in& pool, std::size_t workers, bool unresponsive)
+void set_unresponsive(simulated_pool& pool, std::size_t workers, bool unresponsive)
 {
     for (std::size_t i = 0; i < workers; ++i)
     {
@@ -23,12 +23,12 @@
 // starts recorded, and a submission with a recorded start counted as begun although its order had not been
 // delivered, so too few submissions were reported as pending. A submission counts as begun only once a worker
 // has confirmed it.
-BOOST_AUTO_TEST_CASE(submissions_whose_orders_reached_nobody_are_told_as_waiting)
+BOOST_AUTO_TEST_CASE(submissions_whose_orders_were_not_delivered_count_as_pending)
 {
-    pool_stand_in pool(small_pool_settings(4));
+    simulated_pool pool(small_pool_settings(4));
     pool.start_leader();
     pool.run(milliseconds(1150)); // all have just answered a poll
-    set_dark(pool, 4, true);
+    set_unresponsive(pool, 4, true);
     for (int i = 0; i < 5; ++i)
     {
         pool.submit("plain", {make_step(2, 1000, 3000)});
@@ -38,21 +38,21 @@
     BOOST_TEST(pool.leader().pending("plain") == 5U);
     pool.run(seconds(5));
     BOOST_TEST(pool.leader().pending("plain") == 5U); // their workers were dropped meanwhile
-    set_dark(pool, 4, false);
+    set_unresponsive(pool, 4, false);
     pool.run(seconds(4));
     BOOST_TEST(pool.leader().pending("plain") == 0U);
 }
 
 // The next leader finds that a start recorded by the previous leader was never carried out.
-BOOST_AUTO_TEST_CASE(a_start_that_the_last_leader_did_not_send_is_told_as_waiting)
+BOOST_AUTO_TEST_CASE(a_start_not_sent_by_the_previous_leader_counts_as_pending)
 {
-    pool_stand_in pool(small_pool_settings(1));
+    simulated_pool pool(small_pool_settings(1));
     pool.start_leader();
     pool.run(seconds(1));
     const submission_id id = pool.submit("plain", {make_step(1, 1000, 3000)});
     pool.run(milliseconds(12));
     const worker_incarnation& incarnation = *pool.state().find_id("w0");
-    pool.unlead();
+    pool.stop_leader();
     pool.state().apply(0,
                        record_starts{{planned_start{task_ref{{id, round_id{0}, 0}, 0}, 1, incarnation.id}}});
     BOOST_TEST(pool.state().queued("plain") == 0U);
@@ -66,9 +66,9 @@
 }
 
 // A confirmed start counts at once and still counts under the next leader, however the run ends.
-BOOST_AUTO_TEST_CASE(what_has_begun_is_not_told_as_waiting)
+BOOST_AUTO_TEST_CASE(a_started_submission_does_not_count_as_pending)
 {
-    pool_stand_in pool(small_pool_settings(2));
+    simulated_pool pool(small_pool_settings(2));
     pool.start_leader();
     pool.run(seconds(1));
     pool.submit("plain", {make_step(2, 1000, 2000)});
--- a/tests/src/unit-quotas.cpp
+++ b/tests/src/unit-quotas.cpp
@@ -20,7 +20,7 @@
 
 BOOST_AUTO_TEST_CASE(an_organisation_at_its_limit_waits_and_others_do_not)
 {
-    pool_stand_in pool(limited(8, eight_cores));
+    simulated_pool pool(limited(8, eight_cores));
     pool.start_leader();
     pool.run(seconds(1));
     const submission_id wide = pool.submit("plain", {make_step(40, 1000, 1000)}, "hens");
@@ -31,13 +31,13 @@
     pool.run(seconds(12));
     BOOST_TEST((pool.phase(wide) == submission_phase::completed));
     BOOST_TEST((pool.phase(other) == submission_phase::completed));
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 
 // Capacity held for a gang that is blocked by its organisation's limit would be idle.
 BOOST_AUTO_TEST_CASE(a_gang_that_waits_for_its_organisation_keeps_no_room_from_others)
 {
-    pool_stand_in pool(limited(2, eight_cores));
+    simulated_pool pool(limited(2, eight_cores));
     pool.start_leader();
     pool.run(seconds(1));
     pool.submit("plain", {make_step(8, 1000, 5000)}, "hens");
@@ -50,18 +50,18 @@
     BOOST_TEST((pool.phase(gang) == submission_phase::queued));
     pool.run(seconds(8));
     BOOST_TEST((pool.phase(gang) == submission_phase::completed));
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 
 // Starts sent by the previous leader whose execution nobody has seen count for the next leader.
-BOOST_AUTO_TEST_CASE(a_new_leader_counts_what_it_inherits)
+BOOST_AUTO_TEST_CASE(a_new_leader_counts_inherited_starts)
 {
-    pool_stand_in pool(limited(4, eight_cores));
+    simulated_pool pool(limited(4, eight_cores));
     pool.start_leader();
     pool.run(seconds(1));
     pool.submit("plain", {make_step(30, 1000, 4000)}, "hens");
     pool.run(milliseconds(15)); // recorded, the orders are in transit
-    pool.unlead();
+    pool.stop_leader();
     pool.run(milliseconds(500));
     pool.start_leader();
     for (int i = 0; i < 40; ++i)
@@ -69,12 +69,12 @@
         pool.run(milliseconds(100));
         BOOST_TEST(pool.running_resources_of("hens").cpu <= 8000);
     }
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 
 BOOST_AUTO_TEST_CASE(limits_that_are_lowered_and_raised_count_from_then_on)
 {
-    pool_stand_in pool(limited(4, eight_cores));
+    simulated_pool pool(limited(4, eight_cores));
     pool.start_leader();
     pool.run(seconds(1));
     const submission_id wide = pool.submit("plain", {make_step(60, 1000, 400)}, "hens");
@@ -92,12 +92,12 @@
     BOOST_TEST(most > 8000);
     pool.run(seconds(20));
     BOOST_TEST((pool.phase(wide) == submission_phase::completed));
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 
 // Randomized scenarios: two organisations, one of which submits ten times as much, changing limits, slow or
 // unresponsive workers, and a leader change in one of 20 steps.
-BOOST_AUTO_TEST_CASE(random_days_keep_limits_and_finish)
+BOOST_AUTO_TEST_CASE(random_scenarios_keep_limits_and_finish)
 {
     const std::uint64_t first = first_seed();
     for (std::uint64_t seed = first; seed < first + seed_count(60); ++seed)
@@ -105,7 +105,7 @@
         pool_settings settings = limited(10, {40000, 0, 0, 0});
         settings.seed = seed;
         settings.good_share = 0.85;
-        pool_stand_in pool(settings);
+        simulated_pool pool(settings);
         std::mt19937_64 random(seed * 3571);
         const auto draw = [&random](std::uint64_t below)
         {
@@ -121,7 +121,7 @@
             switch (draw(20))
             {
             case 0:
-                pool.unlead();
+                pool.stop_leader();
                 pool.run(milliseconds(300 + draw(2500)));
                 pool.start_leader();
                 break;
@@ -154,7 +154,7 @@
         pool.run(seconds(120));
         BOOST_TEST_CONTEXT("seed " << seed)
         {
-            check_unbroken(pool);
+            check_invariants(pool);
             for (const submission_id id : all)
             {
                 const submission* known = pool.state().find(id);
--- a/tests/src/unit-reservations.cpp
+++ b/tests/src/unit-reservations.cpp
@@ -33,7 +33,7 @@
     {
         settings.mechanisms.switch_off(mechanism::reservations);
     }
-    pool_stand_in pool(settings);
+    simulated_pool pool(settings);
     pool.start_leader();
     pool.run(seconds(2));
     submission_id large{};
@@ -90,7 +90,7 @@
     settings.workers = 12;
     settings.size = host_size;
     settings.good_share = 0.6;
-    pool_stand_in pool(settings);
+    simulated_pool pool(settings);
     pool.start_leader();
     pool.run(seconds(2));
     std::vector<submission_id> small;
--- a/tests/src/unit-restarts.cpp
+++ b/tests/src/unit-restarts.cpp
@@ -16,7 +16,7 @@
 constexpr duration settle_time = seconds(1); // until leaders, polls and reports have reached a steady state
 constexpr std::uint32_t max_tasks = 8;       // of a submission here
 
-std::vector<submission_id> submit_many(pool_stand_in& pool, int count, std::int64_t run_ms)
+std::vector<submission_id> submit_many(simulated_pool& pool, int count, std::int64_t run_ms)
 {
     std::vector<submission_id> out;
     for (int i = 0; i < count; ++i)
@@ -26,18 +26,18 @@
     return out;
 }
 
-void check_completed(const pool_stand_in& pool, const std::vector<submission_id>& all)
+void check_completed(const simulated_pool& pool, const std::vector<submission_id>& all)
 {
     for (const submission_id id : all)
     {
         BOOST_TEST(name_of(pool.phase(id)) == "completed", name_of(id) << " is " << name_of(pool.phase(id)));
     }
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 
 // A submission that is not completed must have failed because of a poison task, under which at least two
 // workers crashed.
-void check_outcomes(const pool_stand_in& pool, const std::vector<submission_id>& all)
+void check_outcomes(const simulated_pool& pool, const std::vector<submission_id>& all)
 {
     for (const submission_id id : all)
     {
@@ -51,10 +51,10 @@
         BOOST_TEST((phase == submission_phase::completed || may_fail),
                    name_of(id) << " is " << name_of(phase) << " after " << crashes << " crashes");
     }
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 
-std::size_t starts_of_all(const pool_stand_in& pool, const std::vector<submission_id>& all)
+std::size_t starts_of_all(const simulated_pool& pool, const std::vector<submission_id>& all)
 {
     std::size_t starts = 0;
     for (const submission_id id : all)
@@ -70,9 +70,9 @@
 // and 3 of the new incarnation. The next poll, meant for the former incarnation, acknowledged its ends up to
 // 10, and the worker discarded the new ones. The leader then considered the runs absent and started the tasks
 // again.
-BOOST_AUTO_TEST_CASE(ends_of_a_new_life_are_not_taken_for_seen)
+BOOST_AUTO_TEST_CASE(ends_of_a_new_incarnation_are_not_taken_as_acknowledged)
 {
-    pool_stand_in pool(small_pool_settings(2));
+    simulated_pool pool(small_pool_settings(2));
     pool.start_leader();
     pool.run(settle_time);
     check_completed(pool, {});
@@ -89,11 +89,11 @@
 }
 
 // Runs of the former incarnation are started again, once, soon after the new one reports.
-BOOST_AUTO_TEST_CASE(what_a_worker_ran_before_its_restart_is_started_again_once)
+BOOST_AUTO_TEST_CASE(tasks_of_a_restarted_worker_start_again_once)
 {
     for (const bool silent : {false, true})
     {
-        pool_stand_in pool(small_pool_settings(2));
+        simulated_pool pool(small_pool_settings(2));
         pool.start_leader();
         pool.run(settle_time);
         const auto all = submit_many(pool, 6, 1500);
@@ -112,7 +112,7 @@
 // it.
 BOOST_AUTO_TEST_CASE(a_worker_that_left_is_used_when_it_comes_back)
 {
-    pool_stand_in pool(small_pool_settings(2));
+    simulated_pool pool(small_pool_settings(2));
     pool.start_leader();
     pool.run(settle_time);
     for (const std::string incarnation : {"w0", "w1"})
@@ -130,11 +130,11 @@
 
 // Leaving is announced by one incarnation. After a crash before leaving, the next incarnation was still
 // treated as leaving, since its reports count from 1 and looked older than the announcement.
-BOOST_AUTO_TEST_CASE(a_worker_that_crashed_while_it_left_is_used_again)
+BOOST_AUTO_TEST_CASE(a_worker_that_crashed_while_leaving_is_used_again)
 {
     for (const bool next_leader : {false, true})
     {
-        pool_stand_in pool(small_pool_settings(1));
+        simulated_pool pool(small_pool_settings(1));
         pool.start_leader();
         pool.run(seconds(12));
         pool.report("w0", true, 60'000);
@@ -142,7 +142,7 @@
         pool.restart("w0", milliseconds(500));
         if (next_leader)
         {
-            pool.unlead();
+            pool.stop_leader();
             pool.run(seconds(1));
             pool.start_leader();
         }
@@ -154,9 +154,9 @@
 
 // Capacity and kind belong to the incarnation that reports them; lower sequence numbers do not make the
 // report of a new incarnation older.
-BOOST_AUTO_TEST_CASE(the_room_of_a_new_life_counts)
+BOOST_AUTO_TEST_CASE(the_capacity_of_a_new_incarnation_counts)
 {
-    pool_stand_in pool(small_pool_settings(1));
+    simulated_pool pool(small_pool_settings(1));
     pool.start_leader();
     pool.run(seconds(12));
     pool.resize("w0", {8000, 65536, 0, 0});
@@ -178,11 +178,11 @@
         pool_settings settings = small_pool_settings(6);
         settings.restart = down;
         settings.restarts_keep_ids = true;
-        pool_stand_in pool(settings);
+        simulated_pool pool(settings);
         pool.start_leader();
         pool.run(settle_time);
         const submission_id crashing = pool.submit("plain", {make_step(1, 1400, 1000)});
-        pool.crash_a_worker.insert(crashing);
+        pool.crashing_submissions.insert(crashing);
         std::vector<submission_id> ordinary;
         for (int i = 0; i < 30; ++i)
         {
@@ -198,9 +198,9 @@
 
 // A worker loses power while unresponsive, seconds after its tasks were completed there: their ends were not
 // received, but no crash happened during the runs. After two such cases, the tasks failed as poison tasks.
-BOOST_AUTO_TEST_CASE(what_was_done_before_a_crash_is_not_to_blame)
+BOOST_AUTO_TEST_CASE(a_task_completed_before_a_crash_is_not_blamed)
 {
-    pool_stand_in pool(small_pool_settings(2));
+    simulated_pool pool(small_pool_settings(2));
     pool.start_leader();
     pool.run(settle_time);
     const submission_id id = pool.submit("plain", {make_step(1, 2000, 300)});
@@ -225,13 +225,13 @@
 
 // Unanswered orders are carried out seconds later by the next incarnation, which knows neither a fencing
 // token nor a run number. The tasks they would start run elsewhere by then.
-BOOST_AUTO_TEST_CASE(an_order_for_a_former_life_starts_nothing_beside_another_run)
+BOOST_AUTO_TEST_CASE(an_order_for_a_former_incarnation_starts_no_duplicate_run)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
     {
         pool_settings settings = small_pool_settings(3);
         settings.seed = seed;
-        pool_stand_in pool(settings);
+        simulated_pool pool(settings);
         pool.start_leader();
         pool.run(settle_time);
         pool.faults("w0").late = 0.7;
@@ -246,12 +246,12 @@
 
 // Late messages have no effect: a report or a leave of the former incarnation, before or after the next one's
 // first report.
-BOOST_AUTO_TEST_CASE(late_words_of_a_former_life_change_nothing)
+BOOST_AUTO_TEST_CASE(late_messages_of_a_former_incarnation_are_ignored)
 {
-    pool_stand_in pool(small_pool_settings(2));
+    simulated_pool pool(small_pool_settings(2));
     pool.start_leader();
     pool.run(settle_time);
-    const worker_report held_back = pool.write_report("w0", true, 2000);
+    const worker_report held_back = pool.make_report("w0", true, 2000);
     pool.restart("w0", milliseconds(300));
     pool.run(settle_time);
     const auto all = submit_many(pool, 8, 2000);
@@ -272,7 +272,7 @@
 {
     for (const bool snapshot : {false, true})
     {
-        pool_stand_in pool(small_pool_settings(2));
+        simulated_pool pool(small_pool_settings(2));
         pool.start_leader();
         pool.run(settle_time);
         check_completed(pool, submit_many(pool, 0, 0));
@@ -280,7 +280,7 @@
         pool.run(seconds(1));
         const auto second = submit_many(pool, 6, 1500);
         pool.run(milliseconds(200));
-        pool.unlead();
+        pool.stop_leader();
         pool.restart("w0", milliseconds(300));
         pool.run(seconds(1));
         if (snapshot)
@@ -296,12 +296,12 @@
 
 // A message without a process start time, where other workers have one, comes from a different
 // implementation.
-BOOST_AUTO_TEST_CASE(a_report_without_a_birth_is_not_taken_where_the_others_have_one)
+BOOST_AUTO_TEST_CASE(a_report_without_a_birth_time_is_rejected_where_others_have_one)
 {
-    pool_stand_in pool(small_pool_settings(2));
+    simulated_pool pool(small_pool_settings(2));
     pool.start_leader();
     pool.run(settle_time);
-    worker_report foreign = pool.write_report("w0", false);
+    worker_report foreign = pool.make_report("w0", false);
     foreign.description.id = "w7";
     foreign.description.host = "h7";
     foreign.description.process_start = {};
@@ -318,11 +318,11 @@
 
 // A gang failed as a poison task after one crash: the other members had ended with it, but their host crashed
 // before it had reported all of these ends, and the crash was attributed to them.
-BOOST_AUTO_TEST_CASE(a_member_of_a_gang_that_broke_is_not_blamed_for_a_later_crash_of_its_host)
+BOOST_AUTO_TEST_CASE(a_member_of_a_broken_gang_is_not_blamed_for_a_later_host_crash)
 {
     pool_settings settings = small_pool_settings(2);
     settings.good_share = 1.0;
-    pool_stand_in pool(settings);
+    simulated_pool pool(settings);
     pool.start_leader();
     pool.run(settle_time);
     pool.submit("gangs", {make_step(6, 4500, 3000, true)});
@@ -342,17 +342,17 @@
         BOOST_TEST((pool.state().crashes().find(task) == nullptr), name_of(task));
     }
     pool.run(seconds(20));
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 
 // Two hosts are lost during one run of a gang. The members on the second host had already ended when the
 // first was lost, but counted as running there, and the gang failed as a poison task after one crash per
 // task.
-BOOST_AUTO_TEST_CASE(a_member_that_broke_untold_is_not_blamed_for_a_later_crash_of_its_host)
+BOOST_AUTO_TEST_CASE(a_member_that_ended_unreported_is_not_blamed_for_a_later_host_crash)
 {
     pool_settings settings = small_pool_settings(2);
     settings.good_share = 1.0;
-    pool_stand_in pool(settings);
+    simulated_pool pool(settings);
     pool.start_leader();
     pool.run(settle_time);
     const submission_id id = pool.submit("gangs", {make_step(6, 4500, 3000, true)});
@@ -376,7 +376,7 @@
 
 // Part of a pool restarts at once under a steady load. Lost tasks are restarted, and the workers get tasks
 // again within half a second of their first report; no limit of the platform prevents that.
-BOOST_AUTO_TEST_CASE(restarted_workers_have_work_again_soon_at_every_size)
+BOOST_AUTO_TEST_CASE(restarted_workers_get_tasks_soon_at_every_pool_size)
 {
     constexpr duration soon = milliseconds(500);
     for (const std::size_t hosts : {48U, 350U, 1100U})
@@ -385,7 +385,7 @@
         {
             BOOST_TEST_CONTEXT(hosts << " hosts, " << percent << "% restart")
             {
-                pool_stand_in pool(small_pool_settings(hosts));
+                simulated_pool pool(small_pool_settings(hosts));
                 pool.start_leader();
                 pool.run(settle_time);
                 std::vector<submission_id> all;
@@ -425,7 +425,7 @@
 
 // Randomized scenarios: a share of the workers restart under the same ids, quickly or slowly, combined with
 // delayed orders, leader changes, workers that leave and return, gangs and single tasks.
-BOOST_AUTO_TEST_CASE(random_days_with_restarts_run_nothing_twice_and_leave_nothing_idle)
+BOOST_AUTO_TEST_CASE(random_scenarios_with_restarts_run_nothing_twice_and_leave_nothing_idle)
 {
     for (std::uint64_t seed = first_seed(); seed < first_seed() + seed_count(200, 40); ++seed)
     {
@@ -439,7 +439,7 @@
             pool_settings settings = small_pool_settings(12);
             settings.seed = seed;
             settings.good_share = 0.85;
-            pool_stand_in pool(settings);
+            simulated_pool pool(settings);
             pool.start_leader();
             pool.run(settle_time);
             std::vector<submission_id> all;
@@ -468,7 +468,7 @@
                     pool.faults(incarnation).unresponsive = draw(2) == 0;
                     break;
                 case 4:
-                    pool.unlead();
+                    pool.stop_leader();
                     pool.run(milliseconds(300 + draw(1500)));
                     pool.start_leader();
                     break;
--- a/tests/src/unit-rooms.cpp
+++ b/tests/src/unit-rooms.cpp
@@ -120,7 +120,7 @@
         pool_settings settings = small_pool_settings(4);
         settings.seed = seed;
         settings.good_share = 1.0;
-        pool_stand_in pool(settings);
+        simulated_pool pool(settings);
         pool.start_leader();
         pool.run(seconds(1));
         std::vector<submission_id> all;
@@ -134,6 +134,6 @@
         {
             BOOST_TEST((pool.phase(id) == submission_phase::completed));
         }
-        check_unbroken(pool);
+        check_invariants(pool);
     }
 }
--- a/tests/src/unit-sharing.cpp
+++ b/tests/src/unit-sharing.cpp
@@ -33,7 +33,7 @@
 }
 
 // The longest time that the tail latency stayed above the target on any of the workers.
-duration longest_time_over_target(pool_stand_in& pool, const std::vector<std::string>& worker_ids,
+duration longest_time_over_target(simulated_pool& pool, const std::vector<std::string>& worker_ids,
                                   std::int64_t target_ms, duration span)
 {
     constexpr milliseconds step{50};
@@ -45,7 +45,7 @@
         for (const std::string& incarnation : worker_ids)
         {
             over[incarnation] =
-                pool.tail_on(incarnation) > target_ms ? over[incarnation] + step : duration{0};
+                pool.tail_latency_on(incarnation) > target_ms ? over[incarnation] + step : duration{0};
             longest = std::max(longest, over[incarnation]);
         }
     }
@@ -53,36 +53,36 @@
 }
 } // namespace
 
-BOOST_AUTO_TEST_CASE(fillers_slow_down_before_a_tail_is_over_its_target_for_long)
+BOOST_AUTO_TEST_CASE(fillers_slow_down_before_tail_latency_exceeds_its_target_for_long)
 {
-    pool_stand_in pool(with_workers(2));
+    simulated_pool pool(with_workers(2));
     pool.start_leader();
     pool.run(seconds(1));
     pool.submit("plain", {make_serving(2, 100)});
     pool.run(seconds(2));
     pool.submit("plain", {make_filling(2)}); // a tail latency of 160 ms at full pace
     BOOST_TEST((longest_time_over_target(pool, {"w0", "w1"}, 100, seconds(20)) < milliseconds(2500)));
-    BOOST_TEST(pool.tail_on("w0") > 60); // they still run
+    BOOST_TEST(pool.tail_latency_on("w0") > 60); // they still run
 }
 
 BOOST_AUTO_TEST_CASE(a_new_leader_keeps_fillers_slow)
 {
-    pool_stand_in pool(with_workers(2));
+    simulated_pool pool(with_workers(2));
     pool.start_leader();
     pool.run(seconds(1));
     pool.submit("plain", {make_serving(2, 100)});
     pool.run(seconds(2));
     pool.submit("plain", {make_filling(2)});
     pool.run(seconds(10));
-    pool.unlead();
+    pool.stop_leader();
     pool.run(milliseconds(1200));
     pool.start_leader();
     BOOST_TEST((longest_time_over_target(pool, {"w0", "w1"}, 100, seconds(10)) < milliseconds(2500)));
 }
 
-BOOST_AUTO_TEST_CASE(filling_work_keeps_away_from_serving_work)
+BOOST_AUTO_TEST_CASE(filling_tasks_avoid_hosts_of_serving_tasks)
 {
-    pool_stand_in pool(with_workers(4));
+    simulated_pool pool(with_workers(4));
     pool.start_leader();
     pool.run(seconds(1));
     pool.submit("plain", {make_serving(2, 100)});
@@ -96,16 +96,16 @@
 }
 
 // A wave over all hosts of a step that may miss one task: they are drained one after the other.
-BOOST_AUTO_TEST_CASE(upkeep_stops_no_lasting_task_while_another_is_away)
+BOOST_AUTO_TEST_CASE(maintenance_stops_no_lasting_task_while_another_is_down)
 {
-    pool_stand_in pool(with_workers(4));
+    simulated_pool pool(with_workers(4));
     pool.start_leader();
     pool.run(seconds(1));
     step_spec step = make_serving(3, 0);
     step.may_miss = 1;
     const submission_id id = pool.submit("plain", {step});
     pool.run(seconds(2));
-    pool.begin_upkeep({"h0", "h1", "h2"}, 20, 3);
+    pool.begin_maintenance_wave({"h0", "h1", "h2"}, 20, 3);
     std::uint32_t fewest = 3;
     for (int i = 0; i < 200; ++i)
     {
--- a/tests/src/unit-standstill.cpp
+++ b/tests/src/unit-standstill.cpp
@@ -8,10 +8,11 @@
 
 namespace
 {
-constexpr milliseconds step_of_time{20};
+constexpr milliseconds time_step{20};
 // The platform's bounds.
-constexpr milliseconds bound_with_room{3000}; // under half in use, room for twice the gang
-constexpr milliseconds bound_at_turn{40'000}; // the gang that has waited longest, however full the pool is
+constexpr milliseconds max_stall_with_capacity{3000}; // under half in use, room for twice the gang
+constexpr milliseconds max_stall_at_head{
+    40'000}; // the gang that has waited longest, however full the pool is
 
 std::size_t seed_count(std::size_t usual)
 {
@@ -20,10 +21,10 @@
 }
 
 // Measures at every step how long each gang is stalled although it could run.
-class watched_pool : public pool_stand_in
+class monitored_pool : public simulated_pool
 {
   public:
-    using pool_stand_in::pool_stand_in;
+    using simulated_pool::simulated_pool;
 
     submission_id submit_gang(const step_spec& step)
     {
@@ -35,7 +36,7 @@
     {
         for (const monotonic_time end = now() + span; now() < end;)
         {
-            run(step_of_time);
+            run(time_step);
             sample();
         }
     }
@@ -45,19 +46,19 @@
                            [this](const auto& item)
                            {
                                return phase(item.first) == submission_phase::completed ||
-                                      tasks_on_good_hosts(item.first, true) < item.second.spec.count;
+                                      tasks_on_allowed_hosts(item.first, true) < item.second.spec.count;
                            });
     }
-    [[nodiscard]] milliseconds longest_with_room() const
+    [[nodiscard]] milliseconds longest_stall_with_capacity() const
     {
         return m_longest_with_capacity;
     }
-    [[nodiscard]] milliseconds longest_at_turn() const
+    [[nodiscard]] milliseconds longest_stall_at_head() const
     {
         return m_longest_at_head;
     }
     // Number of tasks of a gang that fit on the hosts approved for it, now or with nothing running there.
-    [[nodiscard]] std::uint32_t tasks_on_good_hosts(submission_id id, bool empty) const
+    [[nodiscard]] std::uint32_t tasks_on_allowed_hosts(submission_id id, bool empty) const
     {
         const step_spec& spec = m_gangs.at(id).spec;
         std::uint32_t sum = 0;
@@ -86,7 +87,7 @@
     }
 
   private:
-    struct watched_gang
+    struct monitored_gang
     {
         step_spec spec;
         monotonic_time stalled_with_capacity_since{}; // since when it could run
@@ -133,8 +134,8 @@
         {
             const bool waiting = waits(id);
             const bool room =
-                waiting && below_half_use && tasks_on_good_hosts(id, false) >= 2 * gang.spec.count;
-            const bool turn = waiting && first && tasks_on_good_hosts(id, true) >= gang.spec.count;
+                waiting && below_half_use && tasks_on_allowed_hosts(id, false) >= 2 * gang.spec.count;
+            const bool turn = waiting && first && tasks_on_allowed_hosts(id, true) >= gang.spec.count;
             first = first && !turn;
             m_longest_with_capacity =
                 std::max(m_longest_with_capacity, update_stall(gang.stalled_with_capacity_since, room));
@@ -142,12 +143,12 @@
         }
     }
 
-    std::map<submission_id, watched_gang> m_gangs;
+    std::map<submission_id, monitored_gang> m_gangs;
     milliseconds m_longest_with_capacity{};
     milliseconds m_longest_at_head{};
 };
 
-pool_settings few_good_hosts(std::size_t workers, double good_share, std::uint64_t seed)
+pool_settings few_allowed_hosts(std::size_t workers, double good_share, std::uint64_t seed)
 {
     pool_settings settings;
     settings.workers = workers;
@@ -159,7 +160,7 @@
 }
 
 // Submits small tasks that together request `load` times the pool's capacity, for one time step.
-void submit_small_work(pool_stand_in& pool, std::mt19937_64& random, std::size_t workers, double load)
+void submit_small_work(simulated_pool& pool, std::mt19937_64& random, std::size_t workers, double load)
 {
     const auto pick = [&random](std::int64_t low, std::int64_t high)
     {
@@ -181,16 +182,16 @@
     }
 }
 
-void check(const watched_pool& pool)
+void check(const monitored_pool& pool)
 {
-    BOOST_TEST(pool.longest_with_room().count() <= bound_with_room.count());
-    BOOST_TEST(pool.longest_at_turn().count() <= bound_at_turn.count());
+    BOOST_TEST(pool.longest_stall_with_capacity().count() <= max_stall_with_capacity.count());
+    BOOST_TEST(pool.longest_stall_at_head().count() <= max_stall_at_head.count());
     BOOST_TEST(pool.violations().empty());
 }
 } // namespace
 
 // Gangs that could run stalled indefinitely behind small tasks and behind each other.
-BOOST_AUTO_TEST_CASE(no_gang_that_could_run_stands_still)
+BOOST_AUTO_TEST_CASE(no_runnable_gang_stalls)
 {
     for (std::uint64_t seed = 1; seed <= seed_count(4); ++seed)
     {
@@ -202,7 +203,7 @@
         const auto workers = static_cast<std::size_t>(pick(20, 48));
         const double share = 0.1 * static_cast<double>(pick(1, 5));
         const double load = 0.01 * static_cast<double>(pick(70, 110));
-        watched_pool pool(few_good_hosts(workers, share, seed));
+        monitored_pool pool(few_allowed_hosts(workers, share, seed));
         pool.start_leader();
         pool.run(seconds(2));
         for (int tick = 0; tick < 150; ++tick)
@@ -226,14 +227,14 @@
 }
 
 // Small tasks took each gap as it appeared, so no approved host ever had room for a task of the gang.
-BOOST_AUTO_TEST_CASE(a_gang_starts_beside_small_work_that_fills_every_gap)
+BOOST_AUTO_TEST_CASE(a_gang_starts_despite_small_tasks_that_fill_every_gap)
 {
     constexpr std::size_t workers = 24;
     for (std::uint64_t seed = 1; seed <= 4; ++seed)
     {
-        pool_settings settings = few_good_hosts(workers, 0.25, seed);
+        pool_settings settings = few_allowed_hosts(workers, 0.25, seed);
         settings.advisor_clients = 0;
-        watched_pool pool(settings);
+        monitored_pool pool(settings);
         std::mt19937_64 random(seed);
         pool.start_leader();
         pool.run(seconds(2));
@@ -244,7 +245,7 @@
         pool.run(seconds(1));
         const submission_id gang = pool.submit_gang(make_step(4, 5850, 1000, true));
         pool.run(milliseconds(100));
-        pool.unlead(); // until it is late and the advice has been lost
+        pool.stop_leader(); // until it is late and the advice has been lost
         pool.run(seconds(15));
         for (int tick = 0; tick < 20; ++tick)
         {
@@ -258,7 +259,7 @@
         }
         BOOST_TEST_CONTEXT("seed " << seed)
         {
-            BOOST_TEST_REQUIRE(pool.tasks_on_good_hosts(gang, true) >= 4U);
+            BOOST_TEST_REQUIRE(pool.tasks_on_allowed_hosts(gang, true) >= 4U);
             BOOST_TEST((pool.phase(gang) == submission_phase::completed));
             check(pool);
         }
@@ -269,7 +270,7 @@
 // free.
 BOOST_AUTO_TEST_CASE(a_small_gang_does_not_wait_for_gangs_that_cannot_gather_enough)
 {
-    watched_pool pool(few_good_hosts(24, 1.0, 1));
+    monitored_pool pool(few_allowed_hosts(24, 1.0, 1));
     pool.start_leader();
     pool.run(seconds(2));
     pool.submit("batch", {make_step(20, 6000, 40'000)});
@@ -282,19 +283,19 @@
     const submission_id small = pool.submit_gang(make_step(4, 8000, 1000, true));
     pool.run_monitored(seconds(8));
     BOOST_TEST((pool.phase(small) == submission_phase::completed));
-    BOOST_TEST(pool.longest_with_room().count() <= bound_with_room.count());
+    BOOST_TEST(pool.longest_stall_with_capacity().count() <= max_stall_with_capacity.count());
     BOOST_TEST(pool.violations().empty());
 }
 
 // Late gangs asked about hosts only while most advisor client processes were idle, which was never the case.
-BOOST_AUTO_TEST_CASE(a_late_gang_learns_of_hosts_while_others_keep_the_advisors_busy)
+BOOST_AUTO_TEST_CASE(a_late_gang_gets_advice_while_advisors_are_busy)
 {
-    watched_pool pool(few_good_hosts(24, 0.5, 1));
+    monitored_pool pool(few_allowed_hosts(24, 0.5, 1));
     pool.start_leader();
     pool.run(seconds(2));
     const submission_id gang = pool.submit_gang(make_step(4, 5850, 500, true));
     pool.run(milliseconds(100));
-    pool.unlead(); // until it is late and the advice has been lost
+    pool.stop_leader(); // until it is late and the advice has been lost
     pool.run(seconds(12));
     pool.start_leader();
     for (int tick = 0; tick < 80; ++tick)
@@ -309,12 +310,12 @@
 }
 
 // Each of two gangs had a reservation on the same free capacity, so both stalled.
-BOOST_AUTO_TEST_CASE(gangs_do_not_keep_the_same_free_room_from_each_other)
+BOOST_AUTO_TEST_CASE(gangs_do_not_reserve_the_same_free_capacity)
 {
     constexpr std::size_t workers = 12;
-    pool_settings settings = few_good_hosts(workers, 1.0, 1);
+    pool_settings settings = few_allowed_hosts(workers, 1.0, 1);
     settings.mechanisms.switch_off(mechanism::kept_tickets); // they ask once the capacity is there
-    watched_pool pool(settings);
+    monitored_pool pool(settings);
     pool.start_leader();
     pool.run(seconds(1));
     step_spec busy = make_step(6, 12000, 60'000);
@@ -331,6 +332,6 @@
     BOOST_TEST_REQUIRE((pool.phase(first) == submission_phase::queued));
     BOOST_TEST_REQUIRE((pool.phase(second) == submission_phase::queued));
     pool.cancel(filler);
-    pool.run(bound_with_room);
+    pool.run(max_stall_with_capacity);
     BOOST_TEST((pool.phase(first) == submission_phase::running));
 }
--- a/tests/src/unit-unsent.cpp
+++ b/tests/src/unit-unsent.cpp
@@ -14,7 +14,7 @@
 
 namespace
 {
-void set_unsent(pool_stand_in& pool, std::size_t workers, double share)
+void set_unsent(simulated_pool& pool, std::size_t workers, double share)
 {
     for (std::size_t i = 0; i < workers; ++i)
     {
@@ -23,13 +23,13 @@
 }
 } // namespace
 
-BOOST_AUTO_TEST_CASE(an_order_that_never_left_is_sent_again_and_thrown_away_by_nobody)
+BOOST_AUTO_TEST_CASE(an_unsent_order_is_retried_and_no_work_is_discarded)
 {
     for (std::uint64_t seed = 1; seed <= seed_count(20); ++seed)
     {
         pool_settings settings = small_pool_settings(8);
         settings.seed = seed;
-        pool_stand_in pool(settings);
+        simulated_pool pool(settings);
         pool.start_leader();
         pool.run(seconds(1));
         set_unsent(pool, 8, 0.3);
@@ -46,20 +46,20 @@
         }
         BOOST_TEST(pool.leader().counters().unsent_orders > 0U);
         BOOST_TEST(pool.leader().counters().unanswered_orders == 0U);
-        check_unbroken(pool);
+        check_invariants(pool);
     }
 }
 
 BOOST_AUTO_TEST_CASE(a_task_whose_orders_cannot_be_sent_goes_elsewhere_before_the_lease_is_over)
 {
-    pool_stand_in pool(small_pool_settings(2));
+    simulated_pool pool(small_pool_settings(2));
     pool.start_leader();
     pool.run(seconds(1));
     pool.faults("w0").unsent = 1.0;
     const submission_id id = pool.submit("plain", {make_step(1, 1000, 500)});
     pool.run(milliseconds(2500));
     BOOST_TEST((pool.phase(id) == submission_phase::completed));
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 
 BOOST_AUTO_TEST_CASE(a_gang_some_of_whose_orders_cannot_be_sent_starts_in_the_end)
@@ -68,24 +68,24 @@
     {
         pool_settings settings = small_pool_settings(8);
         settings.seed = seed;
-        pool_stand_in pool(settings);
+        simulated_pool pool(settings);
         pool.start_leader();
         pool.run(seconds(1));
         set_unsent(pool, 8, 0.3);
         const submission_id id = pool.submit("gangs", {make_step(8, 4000, 500, true)});
         pool.run(seconds(8));
         BOOST_TEST((pool.phase(id) == submission_phase::completed));
-        check_unbroken(pool);
+        check_invariants(pool);
     }
 }
 
 // One member of a gang could not be started, and the others waited for it for 3.7 s: they were stopped only
 // once they were seen to be stalled, and a second such failure exceeded the caller's timeout.
-BOOST_AUTO_TEST_CASE(a_gang_that_cannot_be_whole_is_stopped_at_once)
+BOOST_AUTO_TEST_CASE(a_gang_that_cannot_assemble_is_stopped_at_once)
 {
     pool_settings settings = small_pool_settings(3);
     settings.good_share = 1.0; // all three are needed
-    pool_stand_in pool(settings);
+    simulated_pool pool(settings);
     pool.start_leader();
     pool.run(seconds(1));
     pool.faults("w0").unsent = 1.0;
@@ -94,5 +94,5 @@
     pool.faults("w0").unsent = 0.0;
     pool.run(milliseconds(1500));
     BOOST_TEST((pool.phase(id) == submission_phase::completed));
-    check_unbroken(pool);
+    check_invariants(pool);
 }
--- a/tests/src/unit-waits.cpp
+++ b/tests/src/unit-waits.cpp
@@ -11,22 +11,23 @@
 namespace
 {
 // One worker answers every poll with the same refusal from some time on; orders are not affected.
-class refusing_pool final : public pool_stand_in
+class poll_refusing_pool final : public simulated_pool
 {
   public:
-    using pool_stand_in::pool_stand_in;
-    void refuse_looks(const std::string& incarnation, order_outcome outcome)
+    using simulated_pool::simulated_pool;
+    void refuse_polls(const std::string& incarnation, order_outcome outcome)
     {
         m_life = incarnation;
         m_outcome = outcome;
     }
 
   protected:
-    void carry_look(const poll_order& order, const std::function<void(const poll_answer&)>& handler) override
+    void deliver_poll(const poll_order& order,
+                      const std::function<void(const poll_answer&)>& handler) override
     {
         if (order.to.id != m_life)
         {
-            pool_stand_in::carry_look(order, handler);
+            simulated_pool::deliver_poll(order, handler);
             return;
         }
         at(m_settings.network_delay,
@@ -42,10 +43,10 @@
 };
 
 // A leader whose proposals are rejected for a while because too many entries wait for a quorum.
-class overloaded_pool final : public pool_stand_in
+class overloaded_pool final : public simulated_pool
 {
   public:
-    using pool_stand_in::pool_stand_in;
+    using simulated_pool::simulated_pool;
     void refuse_proposals(bool refused)
     {
         m_refused = refused;
@@ -67,25 +68,25 @@
 // ---------------------------------------------------------------------------------------------------------
 
 // The lease expired and the runs ended, but the leader considered them running as long as the refusals came.
-BOOST_AUTO_TEST_CASE(a_worker_that_refuses_every_look_is_given_up)
+BOOST_AUTO_TEST_CASE(a_worker_that_refuses_every_poll_is_given_up)
 {
     for (const order_outcome outcome : {order_outcome::unhealthy, order_outcome::rejected,
                                         order_outcome::no_room, order_outcome::ticket_rejected})
     {
         BOOST_TEST_CONTEXT("outcome " << static_cast<int>(outcome))
         {
-            refusing_pool pool(small_pool_settings(2));
+            poll_refusing_pool pool(small_pool_settings(2));
             pool.start_leader();
             pool.run(seconds(1));
             pool.report("w1", true);
             const submission_id id = pool.submit("plain", {make_step(4, 4000, 500)});
             pool.run(milliseconds(200));
             BOOST_TEST(pool.running_on("w0") == 4U);
-            pool.refuse_looks("w0", outcome);
+            pool.refuse_polls("w0", outcome);
             pool.report("w1", false);
             pool.run(seconds(20));
             BOOST_TEST((pool.phase(id) == submission_phase::completed));
-            check_unbroken(pool);
+            check_invariants(pool);
         }
     }
 }
@@ -96,7 +97,7 @@
 
 // That no order of the run was sent was proposed only once; after the rejection the replicated state kept the
 // task as running.
-BOOST_AUTO_TEST_CASE(a_task_whose_orders_never_left_goes_elsewhere_although_a_proposal_is_refused)
+BOOST_AUTO_TEST_CASE(a_task_whose_orders_were_not_sent_moves_despite_a_refused_proposal)
 {
     overloaded_pool pool(small_pool_settings(2));
     pool.start_leader();
@@ -110,12 +111,12 @@
     pool.faults("w0").unsent = 0.0;
     pool.run(seconds(5));
     BOOST_TEST((pool.phase(id) == submission_phase::completed));
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 
 // The worker announced that it was leaving between the plan and the commit, and the proposal to end the run
 // that never began was rejected.
-BOOST_AUTO_TEST_CASE(a_start_that_is_withdrawn_ends_although_a_proposal_is_refused)
+BOOST_AUTO_TEST_CASE(a_withdrawn_start_ends_despite_a_refused_proposal)
 {
     overloaded_pool pool(small_pool_settings(2));
     pool.start_leader();
@@ -133,7 +134,7 @@
     pool.report("w1", false);
     pool.run(seconds(5));
     BOOST_TEST((pool.phase(id) == submission_phase::completed));
-    check_unbroken(pool);
+    check_invariants(pool);
 }
 
 // The worker refused the only order. While the end of that run waited for a slow commit, the order was sent
@@ -145,7 +146,7 @@
         pool_settings settings = small_pool_settings(4);
         settings.seed = seed;
         settings.commit = milliseconds(400);
-        pool_stand_in pool(settings);
+        simulated_pool pool(settings);
         pool.start_leader();
         pool.run(seconds(3));
         for (const char* incarnation : {"w0", "w1", "w2", "w3"})
@@ -157,7 +158,7 @@
             pool.submit("plain", {make_step(4, 1000, 2000)});
         }
         pool.run(seconds(15));
-        check_unbroken(pool);
+        check_invariants(pool);
     }
 }
 
@@ -166,39 +167,39 @@
 // ---------------------------------------------------------------------------------------------------------
 
 // The host whose turn it was had just died and kept its slot in the wave permanently.
-BOOST_AUTO_TEST_CASE(a_wave_goes_on_behind_a_host_that_is_gone_for_good)
+BOOST_AUTO_TEST_CASE(a_wave_continues_after_a_host_is_permanently_lost)
 {
     pool_settings settings = small_pool_settings(3);
     settings.maintenance = seconds(2);
-    pool_stand_in pool(settings);
+    simulated_pool pool(settings);
     pool.start_leader();
     pool.run(seconds(1));
     pool.leave("w0", [] {}); // it did not announce that it was leaving
-    pool.begin_upkeep({"h0", "h1", "h2"}, 30, 1);
+    pool.begin_maintenance_wave({"h0", "h1", "h2"}, 30, 1);
     pool.run(seconds(30));
     const auto& hosts = pool.state().waves().at(1).hosts;
     BOOST_TEST(hosts.at("h1") == static_cast<std::uint8_t>(maintenance_phase::finished));
     BOOST_TEST(hosts.at("h2") == static_cast<std::uint8_t>(maintenance_phase::finished));
-    BOOST_TEST(pool.most_down() == 1U);
+    BOOST_TEST(pool.max_hosts_down() == 1U);
 }
 
 // While the record of one host's order waited for its commit, the host was not counted, and the next host was
 // ordered down too.
-BOOST_AUTO_TEST_CASE(a_wave_keeps_to_its_limit_although_commits_are_slow)
+BOOST_AUTO_TEST_CASE(a_wave_keeps_its_limit_with_slow_commits)
 {
     for (const milliseconds commit : {milliseconds(60), milliseconds(120), milliseconds(400)})
     {
         pool_settings settings = small_pool_settings(4);
         settings.maintenance = seconds(2);
         settings.commit = commit;
-        pool_stand_in pool(settings);
+        simulated_pool pool(settings);
         pool.start_leader();
         pool.run(seconds(3));
-        pool.begin_upkeep({"h0", "h1", "h2", "h3"}, 60, 1);
+        pool.begin_maintenance_wave({"h0", "h1", "h2", "h3"}, 60, 1);
         pool.run(seconds(30));
         BOOST_TEST(pool.state().waves().at(1).complete());
-        BOOST_TEST(pool.most_down() == 1U);
-        check_unbroken(pool);
+        BOOST_TEST(pool.max_hosts_down() == 1U);
+        check_invariants(pool);
     }
 }
 
@@ -211,11 +212,11 @@
     pool_settings settings = small_pool_settings(4);
     settings.maintenance = seconds(2);
     settings.commit = milliseconds(400);
-    pool_stand_in pool(settings);
+    simulated_pool pool(settings);
     pool.start_leader();
     pool.run(seconds(3));
     pool.leave("w0", [] {});
-    pool.begin_upkeep({"h0", "h1", "h2", "h3"}, 60, 1);
+    pool.begin_maintenance_wave({"h0", "h1", "h2", "h3"}, 60, 1);
     pool.run(returns_after);
     pool.add_worker("w0-again", "h0");
     pool.run(milliseconds(500)); // it is admitted
@@ -225,12 +226,12 @@
     }
     pool.run(seconds(50));
     BOOST_TEST(pool.state().waves().at(1).complete());
-    BOOST_TEST(pool.most_down() == 1U);
-    check_unbroken(pool);
+    BOOST_TEST(pool.max_hosts_down() == 1U);
+    check_invariants(pool);
 }
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_host_that_was_passed_over_and_comes_back_keeps_to_the_limit)
+BOOST_AUTO_TEST_CASE(a_skipped_host_that_returns_counts_towards_the_limit)
 {
     for (milliseconds after = seconds(12); after < seconds(32); after += milliseconds(100))
     {
@@ -238,7 +239,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_wave_that_let_a_host_pass_keeps_to_the_limit_under_the_next_leader)
+BOOST_AUTO_TEST_CASE(a_wave_that_skipped_a_host_keeps_its_limit_under_the_next_leader)
 {
     for (milliseconds after = seconds(12); after < seconds(32); after += milliseconds(100))
     {
--- a/tests/src/unit-wave-turns.cpp
+++ b/tests/src/unit-wave-turns.cpp
@@ -21,11 +21,11 @@
 
 // One task of a long-running step can run nowhere, so the other must not be stopped: the hosts without tasks
 // waited behind the host that runs it.
-BOOST_AUTO_TEST_CASE(a_wave_goes_on_behind_a_host_that_it_may_not_empty)
+BOOST_AUTO_TEST_CASE(a_wave_continues_past_a_host_that_it_may_not_drain)
 {
     pool_settings settings = small_pool_settings(3);
     settings.maintenance = seconds(2);
-    pool_stand_in pool(settings);
+    simulated_pool pool(settings);
     pool.start_leader();
     pool.run(seconds(1));
     pool.report("w1", true, 60'000);
@@ -39,10 +39,10 @@
     pool.report("w1", false);
     pool.report("w2", false);
     BOOST_TEST(pool.running_on("w0") == 1U);
-    pool.begin_upkeep({"h0", "h1", "h2"}, 20, 1);
+    pool.begin_maintenance_wave({"h0", "h1", "h2"}, 20, 1);
     pool.run(seconds(20));
     const auto& hosts = pool.state().waves().at(1).hosts;
     BOOST_TEST(hosts.at("h1") == static_cast<std::uint8_t>(maintenance_phase::finished));
     BOOST_TEST(hosts.at("h2") == static_cast<std::uint8_t>(maintenance_phase::finished));
-    check_unbroken(pool);
+    check_invariants(pool);
 }
--- a/tests/src/worker_records.hpp
+++ b/tests/src/worker_records.hpp
@@ -21,10 +21,10 @@
 namespace walkthread::test
 {
 
-class worker_records : public virtual_events
+class simulation_records : public virtual_events
 {
   public:
-    explicit worker_records(pool_settings settings) : m_settings(settings), m_random(settings.seed)
+    explicit simulation_records(pool_settings settings) : m_settings(settings), m_random(settings.seed)
     {
     }
 
@@ -90,9 +90,9 @@
     {
         return m_workers.at(incarnation).running.size();
     }
-    [[nodiscard]] std::int64_t tail_on(const std::string& incarnation) const
+    [[nodiscard]] std::int64_t tail_latency_on(const std::string& incarnation) const
     {
-        return tail_on(m_workers.at(incarnation));
+        return tail_latency_on(m_workers.at(incarnation));
     }
     // All incarnations that ever existed, with their actual state.
     [[nodiscard]] const auto& workers() const
@@ -109,22 +109,22 @@
         return lease_holds(m_workers.at(incarnation));
     }
     // Until when an unanswered order for the task may still be carried out.
-    [[nodiscard]] monotonic_time may_come_until(const task_ref& task) const
+    [[nodiscard]] monotonic_time late_order_until(const task_ref& task) const
     {
-        const auto found = m_may_come.find(task);
-        return found == m_may_come.end() ? monotonic_time{} : found->second;
+        const auto found = m_late_order_until.find(task);
+        return found == m_late_order_until.end() ? monotonic_time{} : found->second;
     }
     // The longest time that a run existed on a worker after its submission's cancellation was committed.
     [[nodiscard]] duration longest_after_cancel() const
     {
         return m_longest_after_cancel;
     }
-    [[nodiscard]] std::size_t most_down() const
+    [[nodiscard]] std::size_t max_hosts_down() const
     {
-        return m_most_down;
+        return m_max_hosts_down;
     }
-    std::set<submission_id> always_fails;   // all their runs fail
-    std::set<submission_id> crash_a_worker; // the first task of each crashes the worker that starts it
+    std::set<submission_id> failing_submissions;  // all their runs fail
+    std::set<submission_id> crashing_submissions; // the first task of each crashes the worker that starts it
     // How many workers crashed while running the task.
     [[nodiscard]] std::size_t crashes_under(const task_ref& task) const
     {
@@ -146,7 +146,7 @@
     {
         worker_description description;
         worker_faults faults;
-        duration clock_zero{}; // when its clock started counting
+        duration clock_origin{}; // when its clock started counting
         bool terminated = false;
         // Connections to it are refused: its process has ended, its machine is up.
         bool refuses_connections = false;
@@ -160,15 +160,15 @@
         std::map<task_ref, std::uint32_t> highest; // highest run number that was stopped or ended there
         std::vector<reported_end> ended;
         std::map<std::uint64_t, monotonic_time> ended_at;
-        monotonic_time lapsed_at{};
-        std::function<void(const poll_answer&)> waiting_look;
-        std::uint64_t look_number = 0;
+        monotonic_time lease_expired_at{};
+        std::function<void(const poll_answer&)> pending_poll;
+        std::uint64_t poll_number = 0;
         std::size_t starts = 0;
         std::optional<monotonic_time> leaving_acknowledged;
         std::uint64_t acknowledged_sequence = 0; // of the newest acknowledged report
     };
     // Time after the acknowledgement beyond which no task may start: half of the platform's shortest bound.
-    static constexpr milliseconds leaving_bound{1000};
+    static constexpr milliseconds drain_bound{1000};
 
     void note_acknowledged(const worker_report& report)
     {
@@ -191,7 +191,7 @@
     // transit may not take a limit into account that was just lowered.
     void check_limit(const submission& owner, const step_spec& step, const run_ref& run)
     {
-        const bool fresh = m_now - m_limited < limit_known;
+        const bool fresh = m_now - m_limited < limit_propagation_time;
         const std::int64_t limit = fresh ? std::max(m_limit.cpu, m_former_limit.cpu) : m_limit.cpu;
         const std::int64_t uses = running_resources_of(owner.organisation).cpu;
         if (!owner.organisation.empty() && limit > 0 && uses > limit + limit / 10 + step.size.cpu)
@@ -210,7 +210,7 @@
     }
     [[nodiscard]] std::int64_t clock_of(const sim_worker& worker) const
     {
-        const duration up = m_now.time_since_epoch() - worker.clock_zero;
+        const duration up = m_now.time_since_epoch() - worker.clock_origin;
         return 5000 + std::chrono::duration_cast<milliseconds>(up).count();
     }
     // A lease longer than the platform allows is truncated.
@@ -226,7 +226,7 @@
     }
     // Simulated tail latency of serving tasks in milliseconds: 60, plus one for each percent of a filler's
     // pace.
-    [[nodiscard]] std::int64_t tail_on(const sim_worker& worker) const
+    [[nodiscard]] std::int64_t tail_latency_on(const sim_worker& worker) const
     {
         std::int64_t tail = 60;
         for (const auto& [run, state] : worker.running)
@@ -256,22 +256,22 @@
     std::set<std::pair<std::string, std::uint64_t>> m_connected;
     std::map<std::string, sim_worker> m_workers;
     std::map<std::pair<step_ref, std::string>, monotonic_time> m_tickets;
-    static constexpr milliseconds limit_known{2000};
+    static constexpr milliseconds limit_propagation_time{2000};
     resources m_limit{}; // of each organisation
     resources m_former_limit{};
     monotonic_time m_limited{};
     std::set<task_ref> m_completed_tasks;                           // some run of it completed
-    std::set<task_ref> m_noted;                                     // and the leader acknowledged that
+    std::set<task_ref> m_confirmed_tasks;                           // and the leader acknowledged that
     std::map<task_ref, std::set<std::string>> m_workers_started_on; // ids of the workers
     std::map<task_ref, monotonic_time> m_last_start;
-    std::map<task_ref, monotonic_time> m_may_come; // unanswered orders may be carried out until then
+    std::map<task_ref, monotonic_time> m_late_order_until; // unanswered orders may be carried out until then
     std::map<task_ref, std::size_t> m_starts;
     std::map<task_ref, std::size_t> m_crashes; // workers that crashed while running it
     std::map<submission_id, monotonic_time> m_cancelled;
     duration m_longest_after_cancel{};
-    std::set<std::string> m_upkept;   // hosts whose maintenance began
-    std::set<std::string> m_down_now; // those of them that are down
-    std::size_t m_most_down = 0;
+    std::set<std::string> m_maintained_hosts;     // hosts whose maintenance began
+    std::set<std::string> m_hosts_in_maintenance; // those of them that are down
+    std::size_t m_max_hosts_down = 0;
     std::vector<std::string> m_violations;
 };
 
--- a/tests/src/worker_stand_in.hpp
+++ b/tests/src/worker_stand_in.hpp
@@ -10,11 +10,11 @@
 namespace walkthread::test
 {
 
-class worker_stand_in : public worker_records
+class simulated_workers : public simulation_records
 {
   public:
     // Makes one run there fail.
-    void fail_one(const std::string& incarnation)
+    void fail_one_run(const std::string& incarnation)
     {
         sim_worker& worker = m_workers[incarnation];
         const run_ref run = worker.running.begin()->first; // a copy: `end` erases the entry
@@ -29,7 +29,7 @@
     }
 
   protected:
-    using worker_records::worker_records;
+    using simulation_records::simulation_records;
 
     void answer_later(const std::function<void(const order_answer&)>& handler, order_answer answer)
     {
@@ -40,8 +40,8 @@
            });
     }
     // The addressed incarnation does not answer: another one at its address identifies itself.
-    void answer_for_other(const worker_address& to, duration timeout,
-                          const std::function<void(const order_answer&)>& handler)
+    void answer_for_absent_worker(const worker_address& to, duration timeout,
+                                  const std::function<void(const order_answer&)>& handler)
     {
         const bool other = std::any_of(m_workers.begin(), m_workers.end(),
                                        [&to](const auto& item)
@@ -70,7 +70,7 @@
     }
     static constexpr milliseconds order_timeout{600};
     static constexpr milliseconds connect_timeout{700};
-    static constexpr milliseconds late_bound{12000}; // the platform's bound for unanswered orders
+    static constexpr milliseconds late_order_bound{12000}; // the platform's bound for unanswered orders
 
     [[nodiscard]] double unsent_share(const std::string& incarnation) const
     {
@@ -88,12 +88,12 @@
         sim_worker* worker = find(order.to.id);
         if (worker == nullptr)
         {
-            answer_for_other(order.to, order_timeout, handler);
+            answer_for_absent_worker(order.to, order_timeout, handler);
             return;
         }
         if (!late && random_fraction() < worker->faults.late)
         {
-            m_may_come[order.run.task] = m_now + late_bound;
+            m_late_order_until[order.run.task] = m_now + late_order_bound;
             at(order_timeout,
                [handler]
                {
@@ -114,27 +114,27 @@
         }
         if (worker->faults.resets)
         {
-            do_start(*worker, order);
+            execute_start(*worker, order);
             at(milliseconds(210),
                [this, order, handler]
                {
                    sim_worker* again = find(order.to.id);
                    const order_outcome outcome =
-                       again == nullptr ? order_outcome::unanswered : do_start(*again, order);
+                       again == nullptr ? order_outcome::unanswered : execute_start(*again, order);
                    handler({outcome, {}, true});
                });
             return;
         }
-        answer_later(handler, {do_start(*worker, order, late), clock_of(*worker), false});
+        answer_later(handler, {execute_start(*worker, order, late), clock_of(*worker), false});
     }
-    order_outcome do_start(sim_worker& worker, const start_task_order& order, bool late = false)
+    order_outcome execute_start(sim_worker& worker, const start_task_order& order, bool late = false)
     {
         if (order.to.fence < worker.fence)
         {
             return order_outcome::fenced;
         }
         worker.fence = order.to.fence;
-        lapse_if_over(worker);
+        expire_lease_if_over(worker);
         extend_lease(worker, order.until_ms);
         if (worker.running.contains(order.run))
         {
@@ -165,8 +165,7 @@
         {
             return order_outcome::ticket_rejected;
         }
-        const bool leaves =
-            worker.leaving_acknowledged && m_now - *worker.leaving_acknowledged > leaving_bound;
+        const bool leaves = worker.leaving_acknowledged && m_now - *worker.leaving_acknowledged > drain_bound;
         if (leaves && !late)
         {
             m_violations.push_back("started on a leaving worker: " + name_of(order.run) + " on " +
@@ -188,7 +187,7 @@
         ++worker.starts;
         sim_run& made = worker.running[run];
         made.began = m_now;
-        made.fails = worker.faults.fails_all || always_fails.contains(owner.id);
+        made.fails = worker.faults.fails_all || failing_submissions.contains(owner.id);
         made.length_ms = made.fails ? 100 : step.estimate_ms;
         const bool ends = !worker.faults.runs_hang && !step.long_running;
         if (ends && !step.gang)
@@ -199,21 +198,21 @@
         if (step.gang)
         {
             begin_gang(run, step, made.length_ms);
-            end_if_alone(worker.description.id, run);
+            end_if_not_assembled(worker.description.id, run);
         }
-        if (crash_a_worker.contains(owner.id) && run.task.index == 0)
+        if (crashing_submissions.contains(owner.id) && run.task.index == 0)
         {
             at(milliseconds(10),
                [this, incarnation = worker.description.id, run]
                {
                    if (m_workers[incarnation].running.contains(run))
                    {
-                       m_take_down(incarnation);
+                       m_crash_worker(incarnation);
                    }
                });
         }
     }
-    std::function<void(const std::string& incarnation)> m_take_down;
+    std::function<void(const std::string& incarnation)> m_crash_worker;
     // A gang starts to work when all members of one run are present, at the speed of its slowest member; then
     // all end together.
     void begin_gang(const run_ref& run, const step_spec& step, std::int64_t length_ms)
@@ -246,9 +245,9 @@
         }
     }
     // A member waits only this long for the others.
-    void end_if_alone(const std::string& incarnation, const run_ref& run)
+    void end_if_not_assembled(const std::string& incarnation, const run_ref& run)
     {
-        at(gang_patience,
+        at(gang_assembly_timeout,
            [this, incarnation, run, process_start = m_workers[incarnation].description.process_start]
            {
                sim_worker& worker = m_workers[incarnation];
@@ -260,14 +259,14 @@
                }
            });
     }
-    static constexpr milliseconds gang_patience{3000}; // the platform's
+    static constexpr milliseconds gang_assembly_timeout{3000}; // the platform's
     void finish_at(const std::string& incarnation, const run_ref& run, duration in)
     {
         at(in,
            [this, incarnation, run, process_start = m_workers[incarnation].description.process_start]
            {
                sim_worker& worker = m_workers[incarnation];
-               lapse_if_over(worker);
+               expire_lease_if_over(worker);
                const auto found = worker.running.find(run);
                if (found != worker.running.end() && !worker.terminated &&
                    worker.description.process_start == process_start)
@@ -294,7 +293,7 @@
         }
         m_workers_started_on[run.task].insert(worker.description.id);
         m_last_start[run.task] = m_now;
-        if (m_noted.contains(run.task))
+        if (m_confirmed_tasks.contains(run.task))
         {
             m_violations.push_back("started after its completion was acknowledged: " + name_of(run));
         }
@@ -338,7 +337,7 @@
         {
             m_completed_tasks.insert(run.task);
         }
-        answer_look(worker);
+        answer_poll(worker);
     }
 
     void handle_stop(const stop_task_order& order, const std::function<void(const order_answer&)>& handler,
@@ -347,7 +346,7 @@
         sim_worker* worker = find(order.to.id);
         if (worker == nullptr)
         {
-            answer_for_other(order.to, order_timeout, handler);
+            answer_for_absent_worker(order.to, order_timeout, handler);
             return;
         }
         if (order.to.fence < worker->fence)
@@ -407,11 +406,11 @@
         }
         if (worker == nullptr)
         {
-            answer_for_other(order.to, order.timeout + milliseconds(order.wait_ms),
-                             [handler](const order_answer& answer)
-                             {
-                                 handler({answer.outcome, {}, 0, {}, {}});
-                             });
+            answer_for_absent_worker(order.to, order.timeout + milliseconds(order.wait_ms),
+                                     [handler](const order_answer& answer)
+                                     {
+                                         handler({answer.outcome, {}, 0, {}, {}});
+                                     });
             return;
         }
         if (order.to.fence < worker->fence)
@@ -434,7 +433,7 @@
         }
         worker->fence = order.to.fence;
         m_connected.emplace(order.to.id, order.to.fence);
-        lapse_if_over(*worker);
+        expire_lease_if_over(*worker);
         // An incarnation other than the addressed one ignores the lease and the acknowledged ends of the
         // poll.
         const bool meant = order.to.process_start == worker->description.process_start;
@@ -445,35 +444,35 @@
                       {
                           if (item.number <= last_seen)
                           {
-                              take_note(*worker, item);
+                              confirm_end(*worker, item);
                           }
                           return item.number <= last_seen;
                       });
-        worker->waiting_look = handler;
-        const std::uint64_t number = ++worker->look_number;
+        worker->pending_poll = handler;
+        const std::uint64_t number = ++worker->poll_number;
         if (!worker->ended.empty() || order.wait_ms == 0 || !meant)
         {
-            answer_look(*worker);
+            answer_poll(*worker);
             return;
         }
         at(milliseconds(order.wait_ms),
            [this, incarnation = order.to.id, number]
            {
-               if (m_workers[incarnation].look_number == number)
+               if (m_workers[incarnation].poll_number == number)
                {
-                   answer_look(m_workers[incarnation]);
+                   answer_poll(m_workers[incarnation]);
                }
            });
     }
     // An end counts once the leader has acknowledged it, unless the lease has expired since.
-    void take_note(const sim_worker& worker, const reported_end& item)
+    void confirm_end(const sim_worker& worker, const reported_end& item)
     {
         if (item.how != run_end::completed || !m_completed_tasks.contains(item.run.task) ||
-            worker.lapsed_at > worker.ended_at.at(item.number))
+            worker.lease_expired_at > worker.ended_at.at(item.number))
         {
             return;
         }
-        m_noted.insert(item.run.task);
+        m_confirmed_tasks.insert(item.run.task);
         if (m_last_start[item.run.task] > worker.ended_at.at(item.number))
         {
             m_violations.push_back(
@@ -485,13 +484,13 @@
                 std::to_string(m_now.time_since_epoch().count() / 1000));
         }
     }
-    void lapse_if_over(sim_worker& worker)
+    void expire_lease_if_over(sim_worker& worker)
     {
         if (lease_holds(worker))
         {
             return;
         }
-        worker.lapsed_at = m_now;
+        worker.lease_expired_at = m_now;
         const auto running = worker.running;
         for (const auto& [run, state] : running)
         {
@@ -499,9 +498,9 @@
             worker.ended.push_back({worker.next_end++, run, run_end::lapsed, ""});
         }
     }
-    void answer_look(sim_worker& worker)
+    void answer_poll(sim_worker& worker)
     {
-        if (!worker.waiting_look || worker.terminated || worker.faults.unresponsive)
+        if (!worker.pending_poll || worker.terminated || worker.faults.unresponsive)
         {
             return;
         }
@@ -519,9 +518,9 @@
             const step_spec* spec = m_state.find(run.task.step);
             const bool long_running = spec != nullptr && spec->long_running;
             const auto percent = static_cast<std::int32_t>(long_running ? 100 : std::min(part, 1.0) * 100);
-            answer.running.push_back({run, "", percent, tail_on(worker)});
+            answer.running.push_back({run, "", percent, tail_latency_on(worker)});
         }
-        auto handler = std::exchange(worker.waiting_look, nullptr);
+        auto handler = std::exchange(worker.pending_poll, nullptr);
         at(worker.faults.resets ? duration(milliseconds(300))
                                 : m_settings.network_delay, // its poll channel was reset too
            [handler, answer]
