--- a/bench/bench_leader.cpp
+++ b/bench/bench_leader.cpp
@@ -55,7 +55,7 @@
   public:
     worker_farm()
         : m_listener(m_loop, bounds(),
-                     [this](const web_request& request, const std::function<void(web_answer)>& answer)
+                     [this](const web_request& request, const std::function<void(web_response)>& answer)
                      {
                          take(request, answer);
                      })
@@ -88,13 +88,13 @@
         std::map<std::string, json> running;
         std::vector<json> ended;
         std::uint64_t next_end = 1;
-        std::function<void(web_answer)> waiting;
+        std::function<void(web_response)> waiting;
         std::uint64_t poll = 0;
     };
 
-    static web_bounds bounds()
+    static web_limits bounds()
     {
-        web_bounds out;
+        web_limits out;
         out.connections = 20'000;
         return out;
     }
@@ -102,14 +102,14 @@
     {
         return std::chrono::duration_cast<milliseconds>(monotonic_now().time_since_epoch()).count();
     }
-    static web_answer make_json_answer(const json& body)
+    static web_response make_json_answer(const json& body)
     {
-        web_answer out;
+        web_response out;
         out.status = 200;
         out.body = body.dump();
         return out;
     }
-    void take(const web_request& request, const std::function<void(web_answer)>& answer)
+    void take(const web_request& request, const std::function<void(web_response)>& answer)
     {
         worker& at = m_workers[std::string(request.header("X-Walkthread-Expect-Instance"))];
         const json body = json::parse(request.body);
@@ -137,7 +137,7 @@
                send_poll_answer(at);
            });
     }
-    void poll(worker& at, const json& body, const std::function<void(web_answer)>& answer)
+    void poll(worker& at, const json& body, const std::function<void(web_response)>& answer)
     {
         const auto seen = body["last-seen"].get<std::uint64_t>();
         std::erase_if(at.ended,
@@ -210,7 +210,7 @@
         core_node_settings times;
         times.replication.heartbeat = milliseconds(100);
         times.replication.election_timeout = milliseconds(350);
-        outside_hooks outside = m_client.hooks(true);
+        platform_hooks outside = m_client.hooks(true);
         outside.ask_advisor =
             [this](const advice_question& question, const std::function<void(const advice_answer&)>& handler)
         {
@@ -245,7 +245,7 @@
         out.fabric.seeds = {out.fabric.peer_address};
         out.fabric.data_folder = m_folder.string();
         out.fabric.founding = true;
-        out.fabric.losses_borne = 0;
+        out.fabric.max_disk_losses = 0;
         out.descriptors.polls = 6000;
         out.descriptors.orders = 2000;
         return out;
@@ -300,7 +300,7 @@
             queue.advice = {10.0, 0.2, 1500};
             held.queues.push_back(queue);
         }
-        m_node->call(put_catalogue_call{held}, seconds(5), [](const service_reply&) {});
+        m_node->call(put_configuration_call{held}, seconds(5), [](const service_reply&) {});
         report_all();
         after(milliseconds(3000),
               [this]
--- a/include/walkthread/fabric/acceptors.hpp
+++ b/include/walkthread/fabric/acceptors.hpp
@@ -16,7 +16,7 @@
 
 /// @brief Delay before accepting again after a failed accept. The usual cause is a lack of descriptors, where
 /// an immediate retry would spin until one is released.
-inline constexpr std::chrono::milliseconds accept_pause{50};
+inline constexpr std::chrono::milliseconds accept_retry_delay{50};
 
 /// @brief Listens on `IP:PORT`.
 /// @return an error message, or an empty string on success
--- a/include/walkthread/fabric/advice_desk.hpp
+++ b/include/walkthread/fabric/advice_desk.hpp
@@ -18,16 +18,16 @@
 /// @brief A queue of advisor queries and the client processes that can send them. Does no I/O itself: `ask`
 /// sends a query.
 /// @since 0.2
-class advice_desk
+class advisor_query_queue
 {
   public:
     using answer_handler = std::function<void(const advice_answer&)>;
     /// @param ask sends a query through one client; the response may arrive at any time
-    explicit advice_desk(
+    explicit advisor_query_queue(
         std::function<void(const std::string& client, const advice_question&, answer_handler)> ask);
 
     /// @brief Records that a process is alive and can query the advisor.
-    void note_asker(const std::string& client, monotonic_time now);
+    void record_client(const std::string& client, monotonic_time now);
     /// @brief Queues a query. Urgent queries go first unless a normal one has waited for too long.
     void enqueue(const advice_question& question, bool urgent, answer_handler handler, monotonic_time now);
     /// @brief Discards all queries; called when this process loses leadership.
@@ -50,13 +50,13 @@
     [[nodiscard]] bool mostly_idle(monotonic_time now) const;
 
   private:
-    struct open_question
+    struct queued_query
     {
         advice_question question;
         answer_handler handler;
         monotonic_time since{};
     };
-    struct asker_state
+    struct client_state
     {
         monotonic_time last_seen{};
         monotonic_time backoff_until{}; ///< set by a failure, cleared by a response
@@ -64,14 +64,14 @@
     };
 
     void send_next(monotonic_time now);
-    void send(const std::string& client, const open_question& item, bool urgent, monotonic_time now);
-    [[nodiscard]] std::string free_asker(monotonic_time now) const;
-    [[nodiscard]] std::size_t live_askers(monotonic_time now) const;
+    void send(const std::string& client, const queued_query& item, bool urgent, monotonic_time now);
+    [[nodiscard]] std::string find_free_client(monotonic_time now) const;
+    [[nodiscard]] std::size_t count_live_clients(monotonic_time now) const;
 
     std::function<void(const std::string&, const advice_question&, answer_handler)> m_ask;
-    std::map<std::string, asker_state> m_clients;
-    std::deque<open_question> m_urgent;
-    std::deque<open_question> m_normal;
+    std::map<std::string, client_state> m_clients;
+    std::deque<queued_query> m_urgent;
+    std::deque<queued_query> m_normal;
     std::size_t m_busy = 0;
     std::size_t m_busy_normal = 0;
     std::uint64_t m_generation = 0;
--- a/include/walkthread/fabric/call_router.hpp
+++ b/include/walkthread/fabric/call_router.hpp
@@ -45,7 +45,7 @@
     /// @brief Sends a call to one peer, without retries.
     void call_peer(const std::string& peer, service_call body, milliseconds timeout, call_handler handler);
     /// @brief Handles a received reply.
-    void take_reply(reply_note message);
+    void handle_reply(reply_message message);
     /// @brief Sets the current leader, empty for unknown. Pending calls are sent to it at once.
     void set_leader(const std::string& leader);
 
@@ -77,19 +77,19 @@
         monotonic_time deadline{};
         monotonic_time sent{};
         bool ever_sent{};
-        bool of_caller{}; ///< rejected, if it was not sent, once an outage exceeds the hold time
+        bool from_caller{}; ///< rejected, if it was not sent, once an outage exceeds the hold time
         bool to_leader{};
     };
 
-    [[nodiscard]] service_reply refuse_without_leader(milliseconds timeout, monotonic_time now);
-    void give_up_hopeless(monotonic_time now);
+    [[nodiscard]] service_reply make_no_leader_reply(milliseconds timeout, monotonic_time now);
+    void reject_unsent_calls(monotonic_time now);
     void send(std::uint64_t number, waiting_call& item, const std::string& to);
     void finish(std::uint64_t number, service_reply reply);
     void arm();
     void check_deadlines();
 
     mesh& m_mesh;
-    std::function<bool(const service_call&, const call_handler&)> m_local;
+    std::function<bool(const service_call&, const call_handler&)> m_local_handler;
     boost::asio::steady_timer m_timer;
     bool m_armed = false;
     std::string m_leader;
--- a/include/walkthread/fabric/connection_pool.hpp
+++ b/include/walkthread/fabric/connection_pool.hpp
@@ -23,12 +23,12 @@
 {
 
 /// @brief Identifies a connection of a pool; never reused.
-using pooled_id = strong<struct pooled_tag, std::uint64_t>;
+using pooled_connection_id = strong<struct pooled_connection_tag, std::uint64_t>;
 /// @brief Identifies a call that needs a connection; assigned by the owner of the pool.
-using pooled_call = strong<struct pooled_call_tag, std::uint64_t>;
+using pooled_call_id = strong<struct pooled_call_tag, std::uint64_t>;
 
 /// @brief Priority of a call that waits for a connection. Lower values go first, then the older call.
-enum class call_need : std::uint8_t
+enum class call_priority : std::uint8_t
 {
     urgent, ///< latency-sensitive, or a whole gang waits for this task
     usual,
@@ -37,21 +37,22 @@
 /// @brief Limits of a pool.
 struct connection_pool_settings
 {
-    std::size_t max_connections = 1000;     ///< connections in total; from the descriptor budget
-    std::size_t most_each = 1;              ///< connections to one address
-    duration busy_lasts = milliseconds(25); ///< how long a call waits for a busy connection to its address
-                                            ///< before another is opened: orders take only a few ms
-    duration idle_lasts = seconds(15);      ///< connections that are unused for this long are closed
+    std::size_t max_connections = 1000; ///< connections in total; from the descriptor budget
+    std::size_t max_per_address = 1;    ///< connections to one address
+    duration busy_wait_limit =
+        milliseconds(25);                ///< how long a call waits for a busy connection to its address
+                                         ///< before another is opened: orders take only a few ms
+    duration idle_timeout = seconds(15); ///< connections that are unused for this long are closed
 };
 
 /// @brief A call and the connection that was assigned to it.
 struct pool_grant
 {
-    pooled_call call{};
-    pooled_id connection{};
+    pooled_call_id call{};
+    pooled_connection_id connection{};
     std::string address;
-    bool is_new{};                     ///< the connection has to be opened
-    std::optional<pooled_id> replaced; ///< an idle connection that has to be closed first
+    bool is_new{};                                ///< the connection has to be opened
+    std::optional<pooled_connection_id> replaced; ///< an idle connection that has to be closed first
 };
 
 /// @brief Shares a bounded number of connections among calls to many addresses.
@@ -71,18 +72,18 @@
 
     /// @brief Requests a connection for a call. Without a grant the call waits. Complexity: logarithmic.
     /// @param deadline time from which `expire` returns the call if it still waits
-    std::optional<pool_grant> acquire(pooled_call call, const std::string& address, call_need priority,
+    std::optional<pool_grant> acquire(pooled_call_id call, const std::string& address, call_priority priority,
                                       monotonic_time deadline, monotonic_time now);
     /// @brief Opens more connections for calls that have waited `busy_wait_limit` for a busy one.
-    std::vector<pool_grant> open_more(monotonic_time now);
+    std::vector<pool_grant> open_additional(monotonic_time now);
     /// @brief Returns a connection after its call has finished.
     /// @param open whether the connection can be used again
     /// @return the waiting call that is granted a connection now, if any
-    std::optional<pool_grant> release(pooled_id connection, bool open, monotonic_time now);
+    std::optional<pool_grant> release(pooled_connection_id connection, bool open, monotonic_time now);
     /// @brief Removes and returns waiting calls whose deadline has passed.
-    std::vector<pooled_call> expire(monotonic_time now);
+    std::vector<pooled_call_id> expire(monotonic_time now);
     /// @brief Removes and returns connections past the idle timeout, oldest first; the owner closes them.
-    std::vector<pooled_id> close_idle(monotonic_time now);
+    std::vector<pooled_connection_id> close_idle(monotonic_time now);
 
     [[nodiscard]] std::size_t open() const
     {
@@ -99,23 +100,23 @@
 
   private:
     /// Order of waiting calls: priority, then age.
-    using queue_position = std::pair<call_need, std::uint64_t>;
+    using queue_position = std::pair<call_priority, std::uint64_t>;
     struct waiting_call
     {
-        pooled_call call{};
+        pooled_call_id call{};
         monotonic_time deadline{};
-        bool waits_for_own{}; ///< for a busy connection to its address, not for another one
+        bool waits_for_busy{}; ///< for a busy connection to its address, not for another one
     };
     struct address_state
     {
         std::size_t open{};
-        std::vector<pooled_id> idle; ///< most recently used last, used first
+        std::vector<pooled_connection_id> idle; ///< most recently used last, used first
         std::map<queue_position, waiting_call> waiting;
-        std::optional<queue_position> in_line; ///< its key in `m_waiting_for_capacity`
+        std::optional<queue_position> pool_queue_position; ///< its key in `m_waiting_for_capacity`
     };
     struct idle_connection
     {
-        pooled_id id{};
+        pooled_connection_id id{};
         monotonic_time since{};
     };
     struct connection_state
@@ -124,22 +125,23 @@
         std::optional<std::list<idle_connection>::iterator> idle;
     };
 
-    pool_grant use_idle(address_state& state, const std::string& address, pooled_call call);
-    pool_grant open_fresh(address_state& state, const std::string& address, pooled_call call);
-    [[nodiscard]] bool may_open(const address_state& state) const;
-    waiting_call take_first(address_state& state);
-    void take_place_in_line(address_state& state, const std::string& address);
-    void remove(pooled_id connection);
-    void forget_if_unused(const std::string& address);
+    pool_grant use_idle(address_state& state, const std::string& address, pooled_call_id call);
+    pool_grant open_new(address_state& state, const std::string& address, pooled_call_id call);
+    [[nodiscard]] bool can_open(const address_state& state) const;
+    waiting_call pop_first_waiting(address_state& state);
+    void update_pool_queue(address_state& state, const std::string& address);
+    void remove(pooled_connection_id connection);
+    void erase_if_unused(const std::string& address);
 
     connection_pool_settings m_settings;
     std::map<std::string, address_state> m_addresses;
-    std::map<pooled_id, connection_state> m_connections;
-    std::list<idle_connection> m_idle;             ///< least recently used first
-    std::map<queue_position, std::string> m_short; ///< addresses whose first call waits for pool capacity
+    std::map<pooled_connection_id, connection_state> m_connections;
+    std::list<idle_connection> m_idle; ///< least recently used first
+    std::map<queue_position, std::string>
+        m_waiting_for_capacity; ///< addresses whose first call waits for pool capacity
     std::set<std::tuple<monotonic_time, queue_position, std::string>> m_deadlines;
     std::set<std::tuple<monotonic_time, queue_position, std::string>>
-        m_patient; ///< calls that wait for a busy connection, by the end of that wait
+        m_waiting_for_busy; ///< calls that wait for a busy connection, by the end of that wait
     std::uint64_t m_next_connection = 1;
     std::uint64_t m_next_turn = 1;
 };
--- a/include/walkthread/fabric/core_node.hpp
+++ b/include/walkthread/fabric/core_node.hpp
@@ -25,18 +25,22 @@
 struct core_node_settings
 {
     replica_settings replication{};
-    milliseconds tick{40};        ///< of the replica; less than half a heartbeat interval
-    milliseconds join_every{300}; ///< how often a replica outside the membership asks to join
-    milliseconds voter_silent{
-        2500};                ///< silence after which a learner may replace a voter; longer than an election
-    milliseconds pass_gap{2}; ///< least time between passes, so that one pass handles several answers
+    milliseconds tick{40};                 ///< of the replica; less than half a heartbeat interval
+    milliseconds join_retry_interval{300}; ///< how often a replica outside the membership asks to join
+    milliseconds voter_timeout{
+        2500}; ///< silence after which a learner may replace a voter; longer than an election
+    milliseconds min_pass_interval{
+        2}; ///< least time between passes, so that one pass handles several answers
     milliseconds member_review_interval{500}; ///< how often the leader checks for silent or lagging members
-    milliseconds member_behind{1200}; ///< silence after which a member is reported; longer than an election
-    milliseconds report_again{1000};  ///< how often a lagging member is reported again
-    std::uint64_t lag_reported = 500; ///< in entries; about two seconds under load
-    milliseconds leader_heard{400};   ///< a replica with leader contact within this time has current worker
-                                      ///< descriptions: above three heartbeats, below an election and a lease
-    milliseconds asker_known{5000}; ///< processes that queried within this time are notified of a new leader
+    milliseconds member_silence_limit{
+        1200}; ///< silence after which a member is reported; longer than an election
+    milliseconds lag_report_interval{1000};   ///< how often a lagging member is reported again
+    std::uint64_t lag_report_threshold = 500; ///< in entries; about two seconds under load
+    milliseconds leader_contact_limit{
+        400}; ///< a replica with leader contact within this time has current worker
+              ///< descriptions: above three heartbeats, below an election and a lease
+    milliseconds leader_notice_window{
+        5000}; ///< processes that queried within this time are notified of a new leader
     join_settings join_rules{};
     dispatch_settings dispatch{};
 };
@@ -47,7 +51,7 @@
 {
   public:
     core_node(boost::asio::io_context& loop, fabric_settings settings, core_node_settings core_settings,
-              outside_hooks hooks, decision_log& log, std::function<void(const storage_error&)> stop);
+              platform_hooks hooks, decision_log& log, std::function<void(const storage_error&)> stop);
     ~core_node() override;
 
     /// @brief Opens the data folder and starts.
@@ -55,15 +59,15 @@
     std::string start() override;
     void prepare_stop() override;
     /// @brief Whether this process no longer leads, so that it may exit.
-    [[nodiscard]] bool may_end() const;
+    [[nodiscard]] bool may_exit() const;
     void fill(figure_page& page) const override;
 
   protected:
     void receive(const std::string& from, mesh_message message) override;
     bool handle_locally(const service_call& body, const call_handler& handler) override;
-    void ask_around(monotonic_time now) override;
-    [[nodiscard]] std::optional<service_reply> answer_at_once(const service_call& body,
-                                                              monotonic_time now) const override;
+    void query_leader(monotonic_time now) override;
+    [[nodiscard]] std::optional<service_reply> try_answer_locally(const service_call& body,
+                                                                  monotonic_time now) const override;
     [[nodiscard]] std::uint64_t known_term() const override
     {
         const replica& core = m_replica->group().core();
@@ -76,26 +80,26 @@
     void changed();
     void begin_leading(monotonic_time now);
     void end_leading(std::string_view reason);
-    void take_refusal(const storage_error& error);
-    void take_acceptance();
-    void take_join(const join_request& request, monotonic_time now);
-    void ask_to_join(monotonic_time now);
+    void handle_disk_refusal(const storage_error& error);
+    void handle_disk_recovery();
+    void handle_join(const join_request& request, monotonic_time now);
+    void request_join(monotonic_time now);
     void review_members(monotonic_time now);
     void promote_standby(monotonic_time now);
-    void forget_silent_newcomer(monotonic_time now);
-    [[nodiscard]] join_hooks make_newcomer_hooks() const;
-    void tell_leadership(monotonic_time now);
-    [[nodiscard]] replica_id silent_voter(monotonic_time now) const;
-    [[nodiscard]] leader_note present_leader(monotonic_time now) const;
+    void remove_expired_learner(monotonic_time now);
+    [[nodiscard]] join_hooks make_join_hooks() const;
+    void announce_leadership(monotonic_time now);
+    [[nodiscard]] replica_id find_unresponsive_voter(monotonic_time now) const;
+    [[nodiscard]] leader_status describe_leader(monotonic_time now) const;
     [[nodiscard]] bool leads(monotonic_time now) const;
     [[nodiscard]] std::size_t target_voters() const
     {
-        return 2 * m_settings.losses_borne + 1;
+        return 2 * m_settings.max_disk_losses + 1;
     }
-    [[nodiscard]] bool enough_copies() const;
+    [[nodiscard]] bool has_enough_voters() const;
     [[nodiscard]] dispatch_hooks make_hooks();
     void wake_dispatcher();
-    void arm_pass(monotonic_time when);
+    void schedule_pass(monotonic_time when);
     void run_pass();
 
     // core_calls.cpp: calls handled by the leader
@@ -104,49 +108,48 @@
     void propose_and_reply(const workload_command& command, const call_handler& handler);
     void handle(const submit_call& call, const call_handler& handler);
     void handle(const state_call& call, const call_handler& handler);
-    void tell_state(const state_call& call, const call_handler& handler);
+    void reply_with_state(const state_call& call, const call_handler& handler);
     void handle(const cancel_call& call, const call_handler& handler);
     void handle(const pending_call& call, const call_handler& handler);
-    void handle(const put_catalogue_call& call, const call_handler& handler);
-    void handle(const get_catalogue_call& call, const call_handler& handler);
+    void handle(const put_configuration_call& call, const call_handler& handler);
+    void handle(const get_configuration_call& call, const call_handler& handler);
     void handle(const report_call& call, const call_handler& handler);
     void handle(const leave_call& call, const call_handler& handler);
     void handle(const begin_wave_call& call, const call_handler& handler);
     void handle(const wave_state_call& call, const call_handler& handler);
     void handle(const advise_call& call, const call_handler& handler);
     void handle(const explain_call& call, const call_handler& handler);
-    [[nodiscard]] std::string report_address_of_another(const std::string& incarnation,
-                                                        monotonic_time now) const;
-    [[nodiscard]] std::optional<service_reply> refuse_access(const access_decision& caller,
-                                                             std::string_view call);
+    [[nodiscard]] std::string choose_report_address(const std::string& incarnation, monotonic_time now) const;
+    [[nodiscard]] std::optional<service_reply> check_access(const access_decision& caller,
+                                                            std::string_view call);
 
     void fill_leading(figure_page& page) const;
 
-    core_node_settings m_times;
+    core_node_settings m_core_settings;
     std::function<void(const storage_error&)> m_stop;
     workload_state m_state;
     std::unique_ptr<replica_host> m_replica;
     std::unique_ptr<dispatcher> m_dispatcher;
-    advice_desk m_desk;
+    advisor_query_queue m_advisor_queries;
     time_histograms m_commit_times{
         "walkthread_commit_seconds", "Time from a proposal at the leader to its commit.", {}};
     time_histograms m_start_waits{"walkthread_start_wait_seconds",
                                   "Time from a step becoming ready to the planning of its tasks, by queue.",
                                   {"queue"}};
-    time_histograms m_advice_times{
+    time_histograms m_advisor_query_times{
         "walkthread_advice_seconds", "Duration of advisor queries, including queueing.", {"answered"}};
     std::uint64_t m_led_term = 0;
-    monotonic_time m_join_asked{};
+    monotonic_time m_last_join_request{};
     monotonic_time m_last_pass{};
-    monotonic_time m_members_reviewed{};
+    monotonic_time m_last_member_review{};
     /// A process that sent a leader query.
-    struct known_asker
+    struct leader_client
     {
         monotonic_time asked{};
-        bool can_advise{}; ///< it can reach the placement advisor
+        bool can_query_advisor{}; ///< it can reach the placement advisor
     };
-    std::map<std::string, known_asker> m_leader_clients; ///< by address; notified of a new leader
-    std::map<replica_id, monotonic_time> m_behind;       ///< when lagging members were last reported
+    std::map<std::string, leader_client> m_leader_clients;  ///< by address; notified of a new leader
+    std::map<replica_id, monotonic_time> m_lagging_members; ///< when lagging members were last reported
     boost::asio::steady_timer m_pass_timer;
     bool m_pass_due = false;
     bool m_stopping = false;
--- a/include/walkthread/fabric/descriptor_budget.hpp
+++ b/include/walkthread/fabric/descriptor_budget.hpp
@@ -41,7 +41,7 @@
 };
 
 /// @brief The number of descriptors that a process with these uses needs.
-[[nodiscard]] descriptor_needs needs_of(const descriptor_uses& uses);
+[[nodiscard]] descriptor_needs required_descriptors(const descriptor_uses& uses);
 
 /// @brief Divides a descriptor limit into shares.
 /// @param limit descriptors available to this process
--- a/include/walkthread/fabric/fabric_node.hpp
+++ b/include/walkthread/fabric/fabric_node.hpp
@@ -28,19 +28,19 @@
 {
     std::string name;
     std::string hall;
-    std::string peer_address;       ///< address that peers connect to, `IP:PORT`
-    std::string bind_address;       ///< address to listen on, if peers connect through a proxy or NAT
-    std::vector<std::string> seeds; ///< peer addresses of some processes with replicas; may be stale
-    std::string data_folder;        ///< empty for a process without a replica
-    bool founding{};                ///< this is the first start of the whole cluster
-    std::uint32_t losses_borne{2};  ///< number of disks that may be lost at the same time
-    std::string report_address;     ///< address for worker reports; empty if this process takes none
+    std::string peer_address;         ///< address that peers connect to, `IP:PORT`
+    std::string bind_address;         ///< address to listen on, if peers connect through a proxy or NAT
+    std::vector<std::string> seeds;   ///< peer addresses of some processes with replicas; may be stale
+    std::string data_folder;          ///< empty for a process without a replica
+    bool founding{};                  ///< this is the first start of the whole cluster
+    std::uint32_t max_disk_losses{2}; ///< number of disks that may be lost at the same time
+    std::string report_address;       ///< address for worker reports; empty if this process takes none
     milliseconds max_lease{6000};
-    std::size_t most_links = 1000; ///< links to other processes, for each direction
+    std::size_t max_links = 1000; ///< links to other processes, for each direction
 };
 
 /// @brief Calls to workers and the placement advisor, provided by the platform adapter.
-struct outside_hooks
+struct platform_hooks
 {
     std::function<void(const poll_order&, std::function<void(const poll_answer&)>)> poll;
     std::function<void(const start_task_order&, std::function<void(const order_answer&)>)> start;
@@ -57,7 +57,7 @@
 class fabric_node
 {
   public:
-    fabric_node(boost::asio::io_context& loop, fabric_settings settings, outside_hooks hooks,
+    fabric_node(boost::asio::io_context& loop, fabric_settings settings, platform_hooks hooks,
                 decision_log& log);
     virtual ~fabric_node();
     fabric_node(const fabric_node&) = delete;
@@ -92,16 +92,16 @@
   protected:
     virtual void receive(const std::string& from, mesh_message message);
     virtual bool handle_locally(const service_call& body, const call_handler& handler);
-    virtual void ask_around(monotonic_time now);
+    virtual void query_leader(monotonic_time now);
     /// @brief The reply to a call, if this process can give it without the leader.
-    [[nodiscard]] virtual std::optional<service_reply> answer_at_once(const service_call& /*body*/,
-                                                                      monotonic_time /*now*/) const
+    [[nodiscard]] virtual std::optional<service_reply> try_answer_locally(const service_call& /*body*/,
+                                                                          monotonic_time /*now*/) const
     {
         return std::nullopt;
     }
-    void note_suspension();
+    void log_suspension();
     void log_event(std::string_view event, std::string_view subject, std::initializer_list<log_field> fields);
-    void answer_call(const std::string& from, const call_note& message);
+    void answer_call(const std::string& from, const call_message& message);
     /// @brief Sets the leader that calls are sent to; empty for unknown. Each change of the leader or its
     /// term is logged, also a change without an outage in between.
     void follow(const std::string& leader);
@@ -113,7 +113,7 @@
 
     boost::asio::io_context& m_loop;
     fabric_settings m_settings;
-    outside_hooks m_outside;
+    platform_hooks m_platform_hooks;
     decision_log& m_log;
     mesh m_mesh;
     call_router m_router;
@@ -123,9 +123,9 @@
 
   private:
     void tick();
-    duration m_suspended;              ///< total time this machine had been suspended at the last check
-    std::string m_logged_leader;       ///< the leader in the last logged leader event
-    std::uint64_t m_followed_term = 0; ///< the term in that event
+    duration m_suspended;            ///< total time this machine had been suspended at the last check
+    std::string m_logged_leader;     ///< the leader in the last logged leader event
+    std::uint64_t m_logged_term = 0; ///< the term in that event
     std::uint64_t m_leader_changes = 0;
 };
 
--- a/include/walkthread/fabric/leader_outage.hpp
+++ b/include/walkthread/fabric/leader_outage.hpp
@@ -17,8 +17,8 @@
 {
     /// Time that calls are held, counted from when the leader is dropped (after 1.1 s without an answer). In
     /// that time an election (0.45 s) completes, and so does a restart of all replicas (1.5 to 2.5 s).
-    milliseconds hold_for{2000};
-    std::int64_t longest_come_back_s = 5; ///< callers' time budgets are a few seconds
+    milliseconds call_hold_time{2000};
+    std::int64_t max_retry_after_s = 5; ///< callers' time budgets are a few seconds
 };
 
 /// @brief Tracks a leader outage and decides how calls are treated meanwhile. The caller provides the time
@@ -38,11 +38,11 @@
 
     /// @brief Records whether a leader is known.
     /// @return the duration of the outage that this ends, if any
-    std::optional<duration> note_leader(bool known, monotonic_time now);
+    std::optional<duration> set_leader_known(bool known, monotonic_time now);
     /// @brief How long no leader has been known; zero if one is known.
     [[nodiscard]] duration age(monotonic_time now) const;
     /// @brief Whether the outage has exceeded the hold time, so that calls are rejected.
-    [[nodiscard]] bool hopeless(monotonic_time now) const;
+    [[nodiscard]] bool rejects_calls(monotonic_time now) const;
     /// @brief The time after which a caller should retry, in seconds; at least 1.
     /// @param draw a random number in [0, 1]
     /// @param timeout how long the caller would still wait; the retry time is not later, except for the
--- a/include/walkthread/fabric/leader_watch.hpp
+++ b/include/walkthread/fabric/leader_watch.hpp
@@ -18,9 +18,9 @@
 /// @brief Query intervals and timeout of a leader watch.
 struct leader_watch_settings
 {
-    milliseconds ask_every{400};   ///< while the leader responds
-    milliseconds ask_unknown{150}; ///< while no leader is known and all known peers are queried
-    milliseconds leader_silent{
+    milliseconds query_interval{400};     ///< while the leader responds
+    milliseconds discovery_interval{150}; ///< while no leader is known and all known peers are queried
+    milliseconds leader_timeout{
         1100}; ///< more than two query intervals without a response: the leader failed or is partitioned
 };
 
@@ -33,9 +33,9 @@
     leader_watch(std::vector<std::string> seeds, leader_watch_settings settings);
 
     /// @brief Handles a leader status message.
-    void receive(const std::string& from, const leader_note& leader_report, monotonic_time now);
+    void receive(const std::string& from, const leader_status& leader_report, monotonic_time now);
     /// @brief The peers to query now; empty if no query is due.
-    [[nodiscard]] std::vector<std::string> whom_to_ask(monotonic_time now);
+    [[nodiscard]] std::vector<std::string> peers_to_query(monotonic_time now);
     /// @brief Adds seeds after a settings reload.
     void add_seeds(const std::vector<std::string>& seeds);
 
@@ -58,7 +58,7 @@
     leader_watch_settings m_settings;
     std::set<std::string> m_known_peers;
     std::string m_leader;
-    std::string m_last_other; ///< the peer last queried in addition to the leader
+    std::string m_last_other_peer; ///< the peer last queried in addition to the leader
     std::uint64_t m_term = 0;
     monotonic_time m_last_leader_contact{};
     monotonic_time m_last_query{};
--- a/include/walkthread/fabric/mesh.hpp
+++ b/include/walkthread/fabric/mesh.hpp
@@ -33,7 +33,7 @@
     /// @param self the greeting that this process sends on each new link
     /// @param max_links limit for each direction; beyond it the least recently used link is closed
     mesh(boost::asio::io_context& loop, peer_greeting self, handler message_handler, link_handler on_link,
-         std::size_t most_links = 1000);
+         std::size_t max_links = 1000);
     ~mesh();
     mesh(const mesh&) = delete;
     mesh& operator=(const mesh&) = delete;
--- a/include/walkthread/fabric/messages.hpp
+++ b/include/walkthread/fabric/messages.hpp
@@ -61,14 +61,14 @@
 };
 
 /// @brief An operator replaces the cluster configuration.
-struct put_catalogue_call
+struct put_configuration_call
 {
     cluster_configuration next;
     MSGPACK_DEFINE(next)
 };
 
 /// @brief An operator reads the cluster configuration.
-struct get_catalogue_call
+struct get_configuration_call
 {
     std::uint8_t unused{};
     MSGPACK_DEFINE(unused)
@@ -116,9 +116,9 @@
     MSGPACK_DEFINE(id)
 };
 
-using service_call =
-    std::variant<submit_call, state_call, cancel_call, pending_call, put_catalogue_call, get_catalogue_call,
-                 report_call, leave_call, begin_wave_call, wave_state_call, advise_call, explain_call>;
+using service_call = std::variant<submit_call, state_call, cancel_call, pending_call, put_configuration_call,
+                                  get_configuration_call, report_call, leave_call, begin_wave_call,
+                                  wave_state_call, advise_call, explain_call>;
 
 /// @brief The outcome of a call.
 enum class reply_kind : std::uint8_t
@@ -167,12 +167,12 @@
 {
     std::string address; ///< the address that the sender listens on for peers
     std::string name;
-    bool keeps_replica{};
-    MSGPACK_DEFINE(address, name, keeps_replica)
+    bool has_replica{};
+    MSGPACK_DEFINE(address, name, has_replica)
 };
 
 /// @brief An encoded message between replicas.
-struct replica_note
+struct encoded_replica_message
 {
     replica_id from{};
     replica_id to{};
@@ -181,14 +181,14 @@
 };
 
 /// @brief Asks a process with a replica who leads.
-struct leader_question
+struct leader_query
 {
-    bool can_advise{}; ///< the sender can reach the placement advisor
-    MSGPACK_DEFINE(can_advise)
+    bool can_query_advisor{}; ///< the sender can reach the placement advisor
+    MSGPACK_DEFINE(can_query_advisor)
 };
 
 /// @brief The leader that the sender knows of.
-struct leader_note
+struct leader_status
 {
     bool leads{};       ///< the sender itself leads, confirmed by its lease
     std::string leader; ///< peer address of the leader; empty for unknown
@@ -205,7 +205,7 @@
 };
 
 /// @brief A reply with the number of its call.
-struct reply_note
+struct reply_message
 {
     std::uint64_t number{};
     service_reply reply;
@@ -213,14 +213,14 @@
 };
 
 /// @brief A numbered call with an encoded body.
-struct call_note
+struct call_message
 {
     std::uint64_t number{};
     std::string body;
     MSGPACK_DEFINE(number, body)
 };
 
-using mesh_message = std::variant<peer_greeting, replica_note, leader_question, leader_note, join_request,
-                                  call_note, reply_note>;
+using mesh_message = std::variant<peer_greeting, encoded_replica_message, leader_query, leader_status,
+                                  join_request, call_message, reply_message>;
 
 } // namespace walkthread
--- a/include/walkthread/fabric/pooled_client.hpp
+++ b/include/walkthread/fabric/pooled_client.hpp
@@ -35,8 +35,8 @@
 
     /// @brief Sends a request as soon as a connection is available.
     /// @param timeout limit for the wait for a connection, and again for the request itself
-    void send(const std::string& address, web_request request, call_need priority, milliseconds timeout,
-              web_answer_handler handler);
+    void send(const std::string& address, web_request request, call_priority priority, milliseconds timeout,
+              web_response_handler handler);
     /// @brief Adds the metrics of the connections to a metrics page.
     void fill(figure_page& page) const;
 
@@ -45,21 +45,22 @@
     {
         web_request request;
         milliseconds timeout{};
-        web_answer_handler handler;
+        web_response_handler handler;
     };
 
     void begin(const pool_grant& grant);
-    void finish(pooled_id connection, const web_answer_handler& handler, const web_result& outcome);
-    void close(pooled_id connection);
+    void finish(pooled_connection_id connection, const web_response_handler& handler,
+                const web_result& outcome);
+    void close(pooled_connection_id connection);
     void arm();
-    void fail_expired(const std::vector<pooled_call>& calls, monotonic_time now);
+    void fail_expired(const std::vector<pooled_call_id>& calls, monotonic_time now);
 
     boost::asio::io_context& m_loop;
     std::string m_name;
     decision_log& m_log;
     connection_pool m_pool;
-    std::map<pooled_id, std::shared_ptr<web_channel>> m_channels;
-    std::map<pooled_call, open_call> m_waiting;
+    std::map<pooled_connection_id, std::shared_ptr<web_channel>> m_channels;
+    std::map<pooled_call_id, open_call> m_waiting;
     boost::asio::steady_timer m_timer;
     bool m_armed = false;
     monotonic_time m_last_prune{};
--- a/include/walkthread/fabric/web.hpp
+++ b/include/walkthread/fabric/web.hpp
@@ -22,7 +22,7 @@
     std::string value;
 };
 
-struct web_answer;
+struct web_response;
 
 /// @brief Restricts a request to one process at an address, where another process may have replaced it.
 ///
@@ -31,9 +31,10 @@
 /// @since 0.5
 struct web_recipient
 {
-    std::string name;                                ///< identifies the process, unique for each incarnation
-    std::string question;                            ///< the body of the probe, sent to the same target
-    std::function<bool(const web_answer&)> is_meant; ///< whether a response to the probe is from this process
+    std::string name;     ///< identifies the process, unique for each incarnation
+    std::string question; ///< the body of the probe, sent to the same target
+    std::function<bool(const web_response&)>
+        is_from_recipient; ///< whether a response to the probe is from this process
 };
 
 /// @brief A complete request.
@@ -52,7 +53,7 @@
 };
 
 /// @brief A complete response.
-struct web_answer
+struct web_response
 {
     unsigned status{};
     std::string body; ///< JSON; empty for none
@@ -62,6 +63,6 @@
 };
 
 /// @brief Handles a request. The callback must be called once, now or later, on the event loop's thread.
-using web_handler = std::function<void(web_request, std::function<void(web_answer)>)>;
+using web_handler = std::function<void(web_request, std::function<void(web_response)>)>;
 
 } // namespace walkthread
--- a/include/walkthread/fabric/web_client.hpp
+++ b/include/walkthread/fabric/web_client.hpp
@@ -28,8 +28,8 @@
 };
 
 /// @brief A response, or why there is none.
-using web_result = result<web_answer, web_failure>;
-using web_answer_handler = std::function<void(web_result)>;
+using web_result = result<web_response, web_failure>;
+using web_response_handler = std::function<void(web_result)>;
 
 /// @brief A keep-alive connection to one address. Requests are queued and sent one at a time.
 ///
@@ -43,7 +43,7 @@
     virtual ~web_channel() = default;
     /// @brief Sends a request.
     /// @param timeout counted from when the request leaves the queue
-    virtual void send(web_request request, milliseconds timeout, web_answer_handler handler) = 0;
+    virtual void send(web_request request, milliseconds timeout, web_response_handler handler) = 0;
     /// @brief Closes the connection; queued requests fail with `not_sent`.
     virtual void close() = 0;
     /// @brief Whether there is an open connection that the next request would use.
--- a/include/walkthread/fabric/web_listener.hpp
+++ b/include/walkthread/fabric/web_listener.hpp
@@ -17,12 +17,12 @@
 {
 
 /// @brief Limits of a listener.
-struct web_bounds
+struct web_limits
 {
     std::size_t header_bytes = 16U << 10U; ///< the default limit of the documented interface
     std::size_t body_bytes = 1U << 20U;    ///< fits a cluster configuration with thousands of queues
-    milliseconds header_patience{3000};    ///< from the first byte of a request to its last
-    milliseconds idle_patience{60000};     ///< for a keep-alive connection without a request
+    milliseconds request_timeout{3000};    ///< from the first byte of a request to its last
+    milliseconds idle_timeout{60000};      ///< for a keep-alive connection without a request
     std::size_t connections = 3000; ///< beyond that the connection that has been idle longest is closed
 };
 
@@ -31,7 +31,7 @@
 class web_listener
 {
   public:
-    web_listener(boost::asio::io_context& loop, web_bounds bounds, web_handler handler);
+    web_listener(boost::asio::io_context& loop, web_limits bounds, web_handler handler);
     ~web_listener();
     web_listener(const web_listener&) = delete;
     web_listener& operator=(const web_listener&) = delete;
@@ -40,7 +40,7 @@
     /// @return an error message, or an empty string on success
     std::string open(const std::string& address);
     /// @brief Closes each connection after its next response.
-    void wind_down();
+    void drain_connections();
     /// @brief Stops accepting connections.
     void stop_accepting();
     /// @brief Number of requests that are being read, handled or answered.
--- a/src/fabric/call_router.cpp
+++ b/src/fabric/call_router.cpp
@@ -12,11 +12,12 @@
 namespace
 {
 constexpr milliseconds check_interval{50}; // resolution of deadlines and resends
-constexpr milliseconds repeat_after{450};  // replies usually take 30 ms; longer than the fsync of a slow disk
+constexpr milliseconds resend_interval{
+    450}; // replies usually take 30 ms; longer than the fsync of a slow disk
 
 // Only calls from callers are rejected during an outage. Operators and workers try other processes by
 // themselves, so their calls wait until the timeout.
-bool is_of_caller(const service_call& body)
+bool is_caller_request(const service_call& body)
 {
     return std::holds_alternative<submit_call>(body) || std::holds_alternative<state_call>(body) ||
            std::holds_alternative<cancel_call>(body) || std::holds_alternative<pending_call>(body);
@@ -25,7 +26,7 @@
 
 call_router::call_router(boost::asio::io_context& loop, mesh& peers,
                          std::function<bool(const service_call&, const call_handler&)> local_handler)
-    : m_mesh(peers), m_local(std::move(local_handler)), m_timer(loop), m_outage(monotonic_now())
+    : m_mesh(peers), m_local_handler(std::move(local_handler)), m_timer(loop), m_outage(monotonic_now())
 {
 }
 
@@ -37,10 +38,10 @@
 void call_router::call(service_call body, milliseconds timeout, call_handler handler)
 {
     const monotonic_time now = monotonic_now();
-    const bool of_caller = is_of_caller(body);
-    if (of_caller && m_outage.hopeless(now))
+    const bool from_caller = is_caller_request(body);
+    if (from_caller && m_outage.rejects_calls(now))
     {
-        handler(refuse_without_leader(timeout, now));
+        handler(make_no_leader_reply(timeout, now));
         return;
     }
     const std::uint64_t number = m_next++;
@@ -48,13 +49,13 @@
     item.body = std::move(body);
     item.handler = std::move(handler);
     item.deadline = now + timeout;
-    item.of_caller = of_caller;
+    item.from_caller = from_caller;
     item.to_leader = true;
     arm();
     send(number, item, m_leader);
 }
 
-service_reply call_router::refuse_without_leader(milliseconds timeout, monotonic_time now)
+service_reply call_router::make_no_leader_reply(milliseconds timeout, monotonic_time now)
 {
     service_reply reply = make_reply(reply_kind::unavailable, "No leader is known; retry later.");
     const double draw = std::uniform_real_distribution<double>(0.0, 1.0)(m_random);
@@ -63,16 +64,16 @@
 }
 
 // Rejects calls that were never sent. The outcome of calls that were sent is unknown, so they wait on.
-void call_router::give_up_hopeless(monotonic_time now)
+void call_router::reject_unsent_calls(monotonic_time now)
 {
-    if (!m_outage.hopeless(now))
+    if (!m_outage.rejects_calls(now))
     {
         return;
     }
     std::vector<std::uint64_t> numbers;
     for (const auto& [number, item] : m_calls)
     {
-        if (item.of_caller && !item.ever_sent)
+        if (item.from_caller && !item.ever_sent)
         {
             numbers.push_back(number);
         }
@@ -80,7 +81,7 @@
     for (const std::uint64_t number : numbers)
     {
         const auto left = std::chrono::duration_cast<milliseconds>(m_calls.at(number).deadline - now);
-        finish(number, refuse_without_leader(left, now));
+        finish(number, make_no_leader_reply(left, now));
     }
 }
 
@@ -111,10 +112,10 @@
         {
             if (*alive)
             {
-                take_reply(reply_note{number, std::move(reply)});
+                handle_reply(reply_message{number, std::move(reply)});
             }
         };
-        m_local(body, answer);
+        m_local_handler(body, answer);
         return;
     }
     if (item.encoded.empty())
@@ -122,10 +123,10 @@
         item.encoded = encode(item.body);
     }
     item.ever_sent = true;
-    m_mesh.send(to, call_note{number, item.encoded});
+    m_mesh.send(to, call_message{number, item.encoded});
 }
 
-void call_router::take_reply(reply_note message)
+void call_router::handle_reply(reply_message message)
 {
     const auto found = m_calls.find(message.number);
     if (found == m_calls.end())
@@ -161,7 +162,7 @@
     }
     m_leader = leader;
     if (const std::optional<duration> outage_duration =
-            m_outage.note_leader(!leader.empty(), monotonic_now()))
+            m_outage.set_leader_known(!leader.empty(), monotonic_now()))
     {
         m_outages.observe({}, *outage_duration);
     }
@@ -205,7 +206,7 @@
 void call_router::check_deadlines()
 {
     const monotonic_time now = monotonic_now();
-    give_up_hopeless(now);
+    reject_unsent_calls(now);
     std::vector<std::uint64_t> expired;
     std::vector<std::uint64_t> to_resend;
     for (const auto& [number, item] : m_calls)
@@ -214,7 +215,7 @@
         {
             expired.push_back(number);
         }
-        else if (item.to_leader && now - item.sent >= repeat_after)
+        else if (item.to_leader && now - item.sent >= resend_interval)
         {
             to_resend.push_back(number);
         }
--- a/src/fabric/connection_pool.cpp
+++ b/src/fabric/connection_pool.cpp
@@ -5,8 +5,8 @@
 namespace walkthread
 {
 
-std::optional<pool_grant> connection_pool::acquire(pooled_call call, const std::string& address,
-                                                   call_need priority, monotonic_time deadline,
+std::optional<pool_grant> connection_pool::acquire(pooled_call_id call, const std::string& address,
+                                                   call_priority priority, monotonic_time deadline,
                                                    monotonic_time now)
 {
     address_state& state = m_addresses[address];
@@ -15,28 +15,28 @@
         return use_idle(state, address, call);
     }
     const bool busy = state.open > 0;
-    if (!busy && may_open(state))
+    if (!busy && can_open(state))
     {
-        return open_fresh(state, address, call);
+        return open_new(state, address, call);
     }
     const queue_position position{priority, m_next_turn++};
     state.waiting.emplace(position, waiting_call{call, deadline, busy});
     m_deadlines.emplace(deadline, position, address);
     if (busy)
     {
-        m_patient.emplace(now + m_settings.busy_lasts, position, address);
+        m_waiting_for_busy.emplace(now + m_settings.busy_wait_limit, position, address);
     }
-    take_place_in_line(state, address);
+    update_pool_queue(state, address);
     return std::nullopt;
 }
 
-std::vector<pool_grant> connection_pool::open_more(monotonic_time now)
+std::vector<pool_grant> connection_pool::open_additional(monotonic_time now)
 {
     std::vector<pool_grant> out;
-    while (!m_patient.empty() && std::get<0>(*m_patient.begin()) <= now)
+    while (!m_waiting_for_busy.empty() && std::get<0>(*m_waiting_for_busy.begin()) <= now)
     {
-        const auto [when, position, address] = *m_patient.begin();
-        m_patient.erase(m_patient.begin());
+        const auto [when, position, address] = *m_waiting_for_busy.begin();
+        m_waiting_for_busy.erase(m_waiting_for_busy.begin());
         const auto at = m_addresses.find(address);
         const bool waits = at != m_addresses.end() && at->second.waiting.contains(position);
         if (!waits)
@@ -44,18 +44,19 @@
             continue;
         }
         address_state& state = at->second;
-        state.waiting.at(position).waits_for_own = false;
-        if (may_open(state))
+        state.waiting.at(position).waits_for_busy = false;
+        if (can_open(state))
         {
-            const waiting_call next = take_first(state);
-            out.push_back(open_fresh(state, address, next.call));
+            const waiting_call next = pop_first_waiting(state);
+            out.push_back(open_new(state, address, next.call));
         }
-        take_place_in_line(state, address);
+        update_pool_queue(state, address);
     }
     return out;
 }
 
-std::optional<pool_grant> connection_pool::release(pooled_id connection, bool open, monotonic_time now)
+std::optional<pool_grant> connection_pool::release(pooled_connection_id connection, bool open,
+                                                   monotonic_time now)
 {
     const auto found = m_connections.find(connection);
     if (found == m_connections.end())
@@ -66,11 +67,12 @@
     address_state& state = m_addresses[address];
     const bool same_address_waits = !state.waiting.empty();
     const bool other =
-        !m_short.empty() && (!same_address_waits || m_short.begin()->first < state.waiting.begin()->first);
+        !m_waiting_for_capacity.empty() &&
+        (!same_address_waits || m_waiting_for_capacity.begin()->first < state.waiting.begin()->first);
     if (open && same_address_waits && !other)
     {
-        const waiting_call next = take_first(state);
-        take_place_in_line(state, address);
+        const waiting_call next = pop_first_waiting(state);
+        update_pool_queue(state, address);
         return pool_grant{next.call, connection, address, false, std::nullopt};
     }
     if (open && !other)
@@ -81,28 +83,28 @@
         return std::nullopt;
     }
     remove(connection);
-    take_place_in_line(state, address); // calls to the same address may use the released capacity
-    if (m_short.empty())
+    update_pool_queue(state, address); // calls to the same address may use the released capacity
+    if (m_waiting_for_capacity.empty())
     {
-        forget_if_unused(address);
+        erase_if_unused(address);
         return std::nullopt;
     }
-    const std::string next_address = m_short.begin()->second;
+    const std::string next_address = m_waiting_for_capacity.begin()->second;
     address_state& next_state = m_addresses[next_address];
-    const waiting_call next = take_first(next_state);
-    pool_grant grant = open_fresh(next_state, next_address, next.call);
-    take_place_in_line(next_state, next_address);
+    const waiting_call next = pop_first_waiting(next_state);
+    pool_grant grant = open_new(next_state, next_address, next.call);
+    update_pool_queue(next_state, next_address);
     if (open)
     {
         grant.replaced = connection;
     }
-    forget_if_unused(address);
+    erase_if_unused(address);
     return grant;
 }
 
-std::vector<pooled_call> connection_pool::expire(monotonic_time now)
+std::vector<pooled_call_id> connection_pool::expire(monotonic_time now)
 {
-    std::vector<pooled_call> out;
+    std::vector<pooled_call_id> out;
     while (!m_deadlines.empty() && std::get<0>(*m_deadlines.begin()) <= now)
     {
         const auto [when, position, address] = *m_deadlines.begin();
@@ -110,29 +112,29 @@
         address_state& state = m_addresses[address];
         out.push_back(state.waiting.at(position).call);
         state.waiting.erase(position);
-        take_place_in_line(state, address);
-        forget_if_unused(address);
+        update_pool_queue(state, address);
+        erase_if_unused(address);
     }
     return out;
 }
 
-std::vector<pooled_id> connection_pool::close_idle(monotonic_time now)
+std::vector<pooled_connection_id> connection_pool::close_idle(monotonic_time now)
 {
-    std::vector<pooled_id> out;
-    while (!m_idle.empty() && now - m_idle.front().since >= m_settings.idle_lasts)
+    std::vector<pooled_connection_id> out;
+    while (!m_idle.empty() && now - m_idle.front().since >= m_settings.idle_timeout)
     {
-        const pooled_id oldest = m_idle.front().id;
+        const pooled_connection_id oldest = m_idle.front().id;
         const std::string address = m_connections.at(oldest).address;
         remove(oldest);
-        forget_if_unused(address);
+        erase_if_unused(address);
         out.push_back(oldest);
     }
     return out;
 }
 
-pool_grant connection_pool::use_idle(address_state& state, const std::string& address, pooled_call call)
+pool_grant connection_pool::use_idle(address_state& state, const std::string& address, pooled_call_id call)
 {
-    const pooled_id connection = state.idle.back();
+    const pooled_connection_id connection = state.idle.back();
     state.idle.pop_back();
     connection_state& known = m_connections.at(connection);
     m_idle.erase(*known.idle);
@@ -140,9 +142,9 @@
     return pool_grant{call, connection, address, false, std::nullopt};
 }
 
-pool_grant connection_pool::open_fresh(address_state& state, const std::string& address, pooled_call call)
+pool_grant connection_pool::open_new(address_state& state, const std::string& address, pooled_call_id call)
 {
-    pool_grant grant{call, pooled_id{m_next_connection++}, address, true, std::nullopt};
+    pool_grant grant{call, pooled_connection_id{m_next_connection++}, address, true, std::nullopt};
     if (m_connections.size() >= m_settings.max_connections)
     {
         grant.replaced = m_idle.front().id;
@@ -150,7 +152,7 @@
         remove(*grant.replaced);
         if (other != address)
         {
-            forget_if_unused(other);
+            erase_if_unused(other);
         }
     }
     m_connections[grant.connection].address = address;
@@ -158,13 +160,13 @@
     return grant;
 }
 
-bool connection_pool::may_open(const address_state& state) const
+bool connection_pool::can_open(const address_state& state) const
 {
     const bool has_capacity = m_connections.size() < m_settings.max_connections || !m_idle.empty();
-    return has_capacity && state.open < m_settings.most_each;
+    return has_capacity && state.open < m_settings.max_per_address;
 }
 
-connection_pool::waiting_call connection_pool::take_first(address_state& state)
+connection_pool::waiting_call connection_pool::pop_first_waiting(address_state& state)
 {
     const auto first = state.waiting.begin();
     const waiting_call out = first->second;
@@ -174,23 +176,23 @@
 }
 
 // An address waits for pool capacity while its first waiting call could use another connection.
-void connection_pool::take_place_in_line(address_state& state, const std::string& address)
+void connection_pool::update_pool_queue(address_state& state, const std::string& address)
 {
-    if (state.in_line)
+    if (state.pool_queue_position)
     {
-        m_short.erase(*state.in_line);
-        state.in_line.reset();
+        m_waiting_for_capacity.erase(*state.pool_queue_position);
+        state.pool_queue_position.reset();
     }
     const bool waits =
-        !state.waiting.empty() && !(state.open > 0 && state.waiting.begin()->second.waits_for_own);
-    if (waits && state.open < m_settings.most_each)
+        !state.waiting.empty() && !(state.open > 0 && state.waiting.begin()->second.waits_for_busy);
+    if (waits && state.open < m_settings.max_per_address)
     {
-        state.in_line = state.waiting.begin()->first;
-        m_short[*state.in_line] = address;
+        state.pool_queue_position = state.waiting.begin()->first;
+        m_waiting_for_capacity[*state.pool_queue_position] = address;
     }
 }
 
-void connection_pool::remove(pooled_id connection)
+void connection_pool::remove(pooled_connection_id connection)
 {
     const auto found = m_connections.find(connection);
     address_state& state = m_addresses[found->second.address];
@@ -203,7 +205,7 @@
     m_connections.erase(found);
 }
 
-void connection_pool::forget_if_unused(const std::string& address)
+void connection_pool::erase_if_unused(const std::string& address)
 {
     const auto found = m_addresses.find(address);
     if (found != m_addresses.end() && found->second.open == 0 && found->second.waiting.empty())
--- a/src/fabric/core_calls.cpp
+++ b/src/fabric/core_calls.cpp
@@ -30,7 +30,7 @@
     if (!leads(now) || !m_dispatcher || m_stopping)
     {
         service_reply reply = make_reply(reply_kind::not_leading);
-        reply.leader = present_leader(now).leader;
+        reply.leader = describe_leader(now).leader;
         handler(std::move(reply));
         return false;
     }
@@ -44,7 +44,7 @@
 }
 
 // Returns no value if access is granted. The log has the queue, never a key.
-std::optional<service_reply> core_node::refuse_access(const access_decision& caller, std::string_view call)
+std::optional<service_reply> core_node::check_access(const access_decision& caller, std::string_view call)
 {
     const auto refused = [&](workload_code code, std::string text)
     {
@@ -94,7 +94,7 @@
 
 void core_node::propose_and_reply(const workload_command& command, const call_handler& handler)
 {
-    if (!enough_copies())
+    if (!has_enough_voters())
     {
         handler(make_reply(reply_kind::unavailable, "Too few replicas to store the command safely."));
         return;
@@ -124,7 +124,7 @@
 void core_node::handle(const submit_call& call, const call_handler& handler)
 {
     const access_decision caller = decide_access(m_state, call.host, call.path, call.key);
-    if (auto refusal = refuse_access(caller, "submit"))
+    if (auto refusal = check_access(caller, "submit"))
     {
         handler(std::move(*refusal));
         return;
@@ -171,23 +171,23 @@
                                        {
                                            if (*alive)
                                            {
-                                               tell_state(call, handler);
+                                               reply_with_state(call, handler);
                                            }
                                        });
 }
 
-void core_node::tell_state(const state_call& call, const call_handler& handler)
+void core_node::reply_with_state(const state_call& call, const call_handler& handler)
 {
     const monotonic_time now = monotonic_now();
     if (!leads(now))
     {
         service_reply reply = make_reply(reply_kind::not_leading);
-        reply.leader = present_leader(now).leader;
+        reply.leader = describe_leader(now).leader;
         handler(std::move(reply));
         return;
     }
     const access_decision caller = decide_access(m_state, call.host, call.path, call.key);
-    if (auto refusal = refuse_access(caller, "state"))
+    if (auto refusal = check_access(caller, "state"))
     {
         handler(std::move(*refusal));
         return;
@@ -206,7 +206,7 @@
 void core_node::handle(const cancel_call& call, const call_handler& handler)
 {
     const access_decision caller = decide_access(m_state, call.host, call.path, call.key);
-    if (auto refusal = refuse_access(caller, "cancel"))
+    if (auto refusal = check_access(caller, "cancel"))
     {
         handler(std::move(*refusal));
         return;
@@ -225,7 +225,7 @@
 void core_node::handle(const pending_call& call, const call_handler& handler)
 {
     const access_decision caller = decide_access(m_state, call.host, call.path, call.key);
-    if (auto refusal = refuse_access(caller, "pending"))
+    if (auto refusal = check_access(caller, "pending"))
     {
         handler(std::move(*refusal));
         return;
@@ -239,7 +239,7 @@
 // Operators
 // ---------------------------------------------------------------------------------------------------------
 
-void core_node::handle(const put_catalogue_call& call, const call_handler& handler)
+void core_node::handle(const put_configuration_call& call, const call_handler& handler)
 {
     if (auto fault = find_fault(call.next))
     {
@@ -258,7 +258,7 @@
     propose_and_reply(replace_cluster_configuration{call.next}, handler);
 }
 
-void core_node::handle(const get_catalogue_call& /*call*/, const call_handler& handler)
+void core_node::handle(const get_configuration_call& /*call*/, const call_handler& handler)
 {
     if (!m_state.current_configuration())
     {
@@ -323,7 +323,7 @@
 // Any replica with recent leader contact answers a report without changes: 1,100 workers send 730 reports a
 // second, which would delay task starts at the leader. Reports that announce or revoke a leave or differ from
 // the known description go to the leader.
-std::optional<service_reply> core_node::answer_at_once(const service_call& body, monotonic_time now) const
+std::optional<service_reply> core_node::try_answer_locally(const service_call& body, monotonic_time now) const
 {
     const auto* call = std::get_if<report_call>(&body);
     if (call == nullptr || !m_replica || leads(now) || m_stopping)
@@ -331,12 +331,12 @@
         return std::nullopt;
     }
     const bool has_leader_contact =
-        now - m_replica->group().core().last_leader_contact() < m_times.leader_heard;
+        now - m_replica->group().core().last_leader_contact() < m_core_settings.leader_contact_limit;
     const worker_incarnation* known = m_state.find_incarnation(call->report.description.incarnation());
-    const bool new_to_nobody = known != nullptr && !known->assumed &&
-                               known->description == call->report.description && !call->report.draining &&
-                               !known->leaving;
-    if (!has_leader_contact || !new_to_nobody)
+    const bool is_unchanged = known != nullptr && !known->assumed &&
+                              known->description == call->report.description && !call->report.draining &&
+                              !known->leaving;
+    if (!has_leader_contact || !is_unchanged)
     {
         return std::nullopt;
     }
@@ -347,14 +347,15 @@
 
 // The address for later reports: a voter other than the leader, chosen by a hash of the incarnation to spread
 // the load.
-std::string core_node::report_address_of_another(const std::string& incarnation, monotonic_time now) const
+std::string core_node::choose_report_address(const std::string& incarnation, monotonic_time now) const
 {
     const replica& core = m_replica->group().core();
     std::vector<std::string> others;
     for (const replica_id& voter : core.members().voters)
     {
         const auto last_contact = core.last_heard(voter);
-        if (voter != core.self() && last_contact && now - *last_contact < m_times.leader_heard)
+        if (voter != core.self() && last_contact &&
+            now - *last_contact < m_core_settings.leader_contact_limit)
         {
             others.push_back(peer_address_of(voter, detail::port_of(m_settings.report_address)));
         }
@@ -366,7 +367,7 @@
 
 void core_node::handle(const report_call& call, const call_handler& handler)
 {
-    const std::string redirect = report_address_of_another(call.report.description.id, monotonic_now());
+    const std::string redirect = choose_report_address(call.report.description.id, monotonic_now());
     m_dispatcher->handle_report(call.report, monotonic_now(),
                                 [handler, redirect](bool counted)
                                 {
--- a/src/fabric/core_members.cpp
+++ b/src/fabric/core_members.cpp
@@ -11,11 +11,11 @@
 namespace walkthread
 {
 
-leader_note core_node::present_leader(monotonic_time now) const
+leader_status core_node::describe_leader(monotonic_time now) const
 {
     const replica& core = m_replica->group().core();
     const std::uint16_t port = detail::port_of(m_settings.peer_address);
-    leader_note out;
+    leader_status out;
     out.leads = leads(now) && !m_stopping;
     out.term = core.term().value();
     if (core.leader().node.value() != 0)
@@ -36,7 +36,7 @@
 void core_node::receive(const std::string& from, mesh_message message)
 {
     const monotonic_time now = monotonic_now();
-    if (auto* encoded = std::get_if<replica_note>(&message))
+    if (auto* encoded = std::get_if<encoded_replica_message>(&message))
     {
         auto body = decode<replica_message>(encoded->message);
         if (ok(body))
@@ -45,20 +45,20 @@
                 replica_envelope{workload_group, encoded->from, encoded->to, std::move(value_of(body))});
         }
     }
-    else if (auto* query = std::get_if<leader_question>(&message))
+    else if (auto* query = std::get_if<leader_query>(&message))
     {
-        m_leader_clients[from] = {now, query->can_advise};
-        m_mesh.send(from, present_leader(now));
-        if (query->can_advise && m_dispatcher)
+        m_leader_clients[from] = {now, query->can_query_advisor};
+        m_mesh.send(from, describe_leader(now));
+        if (query->can_query_advisor && m_dispatcher)
         {
-            m_desk.note_asker(from, now);
+            m_advisor_queries.record_client(from, now);
         }
     }
     else if (auto* join = std::get_if<join_request>(&message))
     {
-        take_join(*join, now);
+        handle_join(*join, now);
     }
-    else if (auto* known = std::get_if<leader_note>(&message))
+    else if (auto* known = std::get_if<leader_status>(&message))
     {
         m_watch.receive(from, *known, now); // for the addresses of peers; the replica itself knows the leader
     }
@@ -68,29 +68,29 @@
     }
 }
 
-void core_node::ask_around(monotonic_time now)
+void core_node::query_leader(monotonic_time now)
 {
     const replica& core = m_replica->group().core();
-    if (m_dispatcher && m_outside.ask_advisor)
+    if (m_dispatcher && m_platform_hooks.ask_advisor)
     {
-        m_desk.note_asker(m_settings.peer_address, now);
+        m_advisor_queries.record_client(m_settings.peer_address, now);
     }
-    for (const std::string& peer : m_watch.whom_to_ask(now))
+    for (const std::string& peer : m_watch.peers_to_query(now))
     {
-        m_mesh.send(peer, leader_question{static_cast<bool>(m_outside.ask_advisor)});
+        m_mesh.send(peer, leader_query{static_cast<bool>(m_platform_hooks.ask_advisor)});
     }
     const bool replica_knows_leader = core.leader().node.value() != 0;
     if (!replica_knows_leader && !m_watch.leader().empty())
     {
         follow(m_watch.leader());
     }
-    ask_to_join(now);
-    if (leads(now) && now - m_members_reviewed >= m_times.member_review_interval)
+    request_join(now);
+    if (leads(now) && now - m_last_member_review >= m_core_settings.member_review_interval)
     {
-        m_members_reviewed = now;
+        m_last_member_review = now;
         review_members(now);
         promote_standby(now);
-        forget_silent_newcomer(now);
+        remove_expired_learner(now);
     }
 }
 
@@ -110,11 +110,13 @@
         {
             continue;
         }
-        const bool is_lagging = now - *last_contact > m_times.member_behind || *lag > m_times.lag_reported;
-        const auto reported = m_behind.find(member);
-        if (is_lagging && (reported == m_behind.end() || now - reported->second >= m_times.report_again))
+        const bool is_lagging = now - *last_contact > m_core_settings.member_silence_limit ||
+                                *lag > m_core_settings.lag_report_threshold;
+        const auto reported = m_lagging_members.find(member);
+        if (is_lagging && (reported == m_lagging_members.end() ||
+                           now - reported->second >= m_core_settings.lag_report_interval))
         {
-            m_behind[member] = now;
+            m_lagging_members[member] = now;
             log_event("replica_behind", {},
                       {{"address", peer_address_of(member, detail::port_of(m_settings.peer_address))},
                        {"silent_ms", now - *last_contact},
@@ -122,7 +124,7 @@
                        {"snapshot", core.log().base_index().value()},
                        {"link_dropped", m_mesh.messages_dropped()}});
         }
-        else if (!is_lagging && m_behind.erase(member) > 0)
+        else if (!is_lagging && m_lagging_members.erase(member) > 0)
         {
             log_event("replica_caught_up", {},
                       {{"address", peer_address_of(member, detail::port_of(m_settings.peer_address))}});
@@ -130,13 +132,13 @@
     }
 }
 
-replica_id core_node::silent_voter(monotonic_time now) const
+replica_id core_node::find_unresponsive_voter(monotonic_time now) const
 {
     const replica& core = m_replica->group().core();
     for (const replica_id& voter : core.members().voters)
     {
         const auto last_contact = core.last_heard(voter);
-        if (voter != core.self() && last_contact && now - *last_contact > m_times.voter_silent)
+        if (voter != core.self() && last_contact && now - *last_contact > m_core_settings.voter_timeout)
         {
             return voter;
         }
@@ -148,7 +150,7 @@
 void core_node::promote_standby(monotonic_time now)
 {
     replica& core = m_replica->group().core();
-    const replica_id unresponsive = silent_voter(now);
+    const replica_id unresponsive = find_unresponsive_voter(now);
     const auto& learners = core.members().learners;
     const bool promotion_pending = std::any_of(learners.begin(), learners.end(),
                                                [](const learner& item)
@@ -162,7 +164,7 @@
     for (const learner& item : learners)
     {
         const auto last_contact = core.last_heard(item.id);
-        if (!last_contact || now - *last_contact > m_times.member_behind)
+        if (!last_contact || now - *last_contact > m_core_settings.member_silence_limit)
         {
             continue;
         }
@@ -178,24 +180,24 @@
 
 // A replica that is not in its known membership, or has no leader contact, sends join requests to all known
 // peers; only the leader handles them.
-void core_node::ask_to_join(monotonic_time now)
+void core_node::request_join(monotonic_time now)
 {
     const replica& core = m_replica->group().core();
-    const bool leader_in_contact =
-        core.role() == replica_role::leader || now - core.last_leader_contact() < m_times.member_behind;
+    const bool leader_in_contact = core.role() == replica_role::leader ||
+                                   now - core.last_leader_contact() < m_core_settings.member_silence_limit;
     const bool is_active_member = core.members().is_member(core.self()) && leader_in_contact;
-    if (is_active_member || m_stopping || now - m_join_asked < m_times.join_every)
+    if (is_active_member || m_stopping || now - m_last_join_request < m_core_settings.join_retry_interval)
     {
         return;
     }
-    m_join_asked = now;
+    m_last_join_request = now;
     for (const std::string& peer : m_watch.known())
     {
         m_mesh.send(peer, join_request{core.self()});
     }
 }
 
-join_hooks core_node::make_newcomer_hooks() const
+join_hooks core_node::make_join_hooks() const
 {
     join_hooks hooks;
     hooks.same_host = [](const replica_id& a, const replica_id& b)
@@ -209,16 +211,16 @@
     return hooks;
 }
 
-void core_node::take_join(const join_request& request, monotonic_time now)
+void core_node::handle_join(const join_request& request, monotonic_time now)
 {
     replica& core = m_replica->group().core();
     if (!leads(now))
     {
         return;
     }
-    m_times.join_rules.target_voters = target_voters();
+    m_core_settings.join_rules.target_voters = target_voters();
     const join_decision decided =
-        decide_join(core.members(), request.self, m_times.join_rules, make_newcomer_hooks(), now);
+        decide_join(core.members(), request.self, m_core_settings.join_rules, make_join_hooks(), now);
     const std::string address = peer_address_of(request.self, detail::port_of(m_settings.peer_address));
     if (decided.live_replica)
     {
@@ -245,11 +247,11 @@
 }
 
 // A learner that never catches up would block the promotion of all others.
-void core_node::forget_silent_newcomer(monotonic_time now)
+void core_node::remove_expired_learner(monotonic_time now)
 {
     replica& core = m_replica->group().core();
     const auto expired_learner =
-        find_expired_learner(core.members(), m_times.join_rules, make_newcomer_hooks(), now);
+        find_expired_learner(core.members(), m_core_settings.join_rules, make_join_hooks(), now);
     if (expired_learner && ok(core.remove_member(*expired_learner, now)))
     {
         log_event("newcomer_forgotten", {},
--- a/src/fabric/core_node.cpp
+++ b/src/fabric/core_node.cpp
@@ -15,9 +15,9 @@
 
 namespace
 {
-constexpr std::uint64_t founding_life =
+constexpr std::uint64_t founder_incarnation =
     1; // the low half of a founder's incarnation; random for later replicas
-constexpr std::size_t most_questions_waiting = 2; // so that a client that becomes idle has the next query
+constexpr std::size_t max_queued_normal_queries = 2; // so that a client that becomes idle has the next query
 
 // A replica's identity contains its IPv4 address, so the membership alone gives the addresses of its members.
 replica_id make_replica_id(const std::string& ip, std::uint64_t incarnation)
@@ -35,13 +35,13 @@
 }
 
 core_node::core_node(boost::asio::io_context& loop, fabric_settings settings,
-                     core_node_settings core_settings, outside_hooks hooks, decision_log& log,
+                     core_node_settings core_settings, platform_hooks hooks, decision_log& log,
                      std::function<void(const storage_error&)> stop)
-    : fabric_node(loop, std::move(settings), std::move(hooks), log), m_times(core_settings),
+    : fabric_node(loop, std::move(settings), std::move(hooks), log), m_core_settings(core_settings),
       m_stop(std::move(stop)),
-      m_desk(
+      m_advisor_queries(
           [this](const std::string& client, const advice_question& question,
-                 const advice_desk::answer_handler& handler)
+                 const advisor_query_queue::answer_handler& handler)
           {
               constexpr milliseconds timeout{2500}; // the slowest query takes about 1 s
               m_router.call_peer(client, advise_call{question}, timeout,
@@ -52,8 +52,8 @@
           }),
       m_pass_timer(loop)
 {
-    m_desk.set_clock(monotonic_now);
-    m_times.dispatch.max_lease = m_settings.max_lease;
+    m_advisor_queries.set_clock(monotonic_now);
+    m_core_settings.dispatch.max_lease = m_settings.max_lease;
 }
 
 core_node::~core_node()
@@ -70,7 +70,7 @@
     const bool founder =
         m_settings.founding && std::find(seeds.begin(), seeds.end(), m_settings.peer_address) != seeds.end();
     std::random_device entropy;
-    const std::uint64_t incarnation = founder ? founding_life : (entropy() | 2U);
+    const std::uint64_t incarnation = founder ? founder_incarnation : (entropy() | 2U);
     folder_identity new_identity;
     const replica_id self = make_replica_id(ip, incarnation);
     new_identity.node = self.node;
@@ -80,7 +80,7 @@
         membership founders;
         for (const std::string& seed : seeds)
         {
-            founders.voters.push_back(make_replica_id(detail::ip_of(seed), founding_life));
+            founders.voters.push_back(make_replica_id(detail::ip_of(seed), founder_incarnation));
         }
         std::sort(founders.voters.begin(), founders.voters.end());
         new_identity.founding[workload_group] = founders;
@@ -132,14 +132,14 @@
                {"snapshot", start.base.index.value()},
                {"entries", start.entries.size()},
                {"voters", start.base.members.voters.size()}});
-    replica core(workload_group, self, m_times.replication, std::move(start), self.incarnation.value(),
-                 monotonic_now());
+    replica core(workload_group, self, m_core_settings.replication, std::move(start),
+                 self.incarnation.value(), monotonic_now());
     auto group = std::make_unique<replicated_group>(workload_group, std::move(core), std::move(hooks));
     replica_host_hooks replica_hooks;
     replica_hooks.send = [this](const replica_envelope& envelope)
     {
         const std::string to = peer_address_of(envelope.to, detail::port_of(m_settings.peer_address));
-        m_mesh.send(to, replica_note{envelope.from, envelope.to, encode(envelope.message)});
+        m_mesh.send(to, encoded_replica_message{envelope.from, envelope.to, encode(envelope.message)});
     };
     replica_hooks.changed = [this]
     {
@@ -152,14 +152,14 @@
     };
     replica_hooks.disk_refuses = [this](const storage_error& error)
     {
-        take_refusal(error);
+        handle_disk_refusal(error);
     };
     replica_hooks.disk_accepts = [this]
     {
-        take_acceptance();
+        handle_disk_recovery();
     };
     m_replica = std::make_unique<replica_host>(m_loop, std::move(folder), std::move(group),
-                                               std::move(replica_hooks), m_times.tick);
+                                               std::move(replica_hooks), m_core_settings.tick);
 }
 
 // ---------------------------------------------------------------------------------------------------------
@@ -171,12 +171,12 @@
     return m_replica && m_replica->group().leads(now);
 }
 
-bool core_node::enough_copies() const
+bool core_node::has_enough_voters() const
 {
     return m_replica->group().core().members().voters.size() >= target_voters();
 }
 
-bool core_node::may_end() const
+bool core_node::may_exit() const
 {
     return m_replica->group().core().role() != replica_role::leader;
 }
@@ -229,25 +229,25 @@
                {"workers", m_state.workers().size()},
                {"submissions", m_state.submissions().size()}});
     m_dispatcher =
-        std::make_unique<dispatcher>(m_state, m_times.dispatch, make_hooks(), m_log, m_led_term, now);
+        std::make_unique<dispatcher>(m_state, m_core_settings.dispatch, make_hooks(), m_log, m_led_term, now);
     // Otherwise the first advisor queries would wait for the next leader query of each client.
     for (const auto& [address, known] : m_leader_clients)
     {
-        if (known.can_advise)
+        if (known.can_query_advisor)
         {
-            m_desk.note_asker(address, known.asked);
+            m_advisor_queries.record_client(address, known.asked);
         }
     }
-    tell_leadership(now);
+    announce_leadership(now);
 }
 
 // Notifies processes with a recent leader query, so that they need not discover the change.
-void core_node::tell_leadership(monotonic_time now)
+void core_node::announce_leadership(monotonic_time now)
 {
-    const leader_note status = present_leader(now);
+    const leader_status status = describe_leader(now);
     for (const auto& [address, known] : m_leader_clients)
     {
-        if (now - known.asked < m_times.asker_known)
+        if (now - known.asked < m_core_settings.leader_notice_window)
         {
             m_mesh.send(address, status);
         }
@@ -260,14 +260,14 @@
     {
         log_event("leading_no_more", {}, {{"term", m_led_term}, {"reason", reason}});
         m_dispatcher.reset();
-        m_desk.clear();
+        m_advisor_queries.clear();
     }
 }
 
 // A leader whose disk rejects writes could commit only through the copies of other replicas, and its
 // snapshots and votes would be delayed, so it transfers leadership until the disk recovers. It continues as a
 // replica, as the others may need its copy.
-void core_node::take_refusal(const storage_error& error)
+void core_node::handle_disk_refusal(const storage_error& error)
 {
     if (std::exchange(m_disk_refuses, true))
     {
@@ -289,7 +289,7 @@
                       });
 }
 
-void core_node::take_acceptance()
+void core_node::handle_disk_recovery()
 {
     m_disk_refuses = false;
     log_event("disk_accepts", {}, {});
@@ -314,49 +314,50 @@
     hooks.poll =
         [this, no_poll](const poll_order& order, const std::function<void(const poll_answer&)>& handler)
     {
-        leads(monotonic_now()) ? m_outside.poll(order, handler) : handler(no_poll);
+        leads(monotonic_now()) ? m_platform_hooks.poll(order, handler) : handler(no_poll);
     };
     hooks.start = [this, no_order](const start_task_order& order,
                                    const std::function<void(const order_answer&)>& handler)
     {
-        leads(monotonic_now()) ? m_outside.start(order, handler) : handler(no_order);
+        leads(monotonic_now()) ? m_platform_hooks.start(order, handler) : handler(no_order);
     };
     hooks.stop = [this, no_order](const stop_task_order& order,
                                   const std::function<void(const order_answer&)>& handler)
     {
-        leads(monotonic_now()) ? m_outside.stop(order, handler) : handler(no_order);
+        leads(monotonic_now()) ? m_platform_hooks.stop(order, handler) : handler(no_order);
     };
     hooks.pace = [this, no_order](const pace_task_order& order,
                                   const std::function<void(const order_answer&)>& handler)
     {
-        leads(monotonic_now()) ? m_outside.pace(order, handler) : handler(no_order);
+        leads(monotonic_now()) ? m_platform_hooks.pace(order, handler) : handler(no_order);
     };
     hooks.order_maintenance = [this, no_order](const std::string& host, std::uint64_t wave,
                                                std::uint64_t fence,
                                                const std::function<void(const order_answer&)>& handler)
     {
-        leads(monotonic_now()) ? m_outside.order_maintenance(host, wave, fence, handler) : handler(no_order);
+        leads(monotonic_now()) ? m_platform_hooks.order_maintenance(host, wave, fence, handler)
+                               : handler(no_order);
     };
     hooks.advise = [this](const advice_question& question, bool urgent,
                           const std::function<void(const advice_answer&)>& handler)
     {
         const monotonic_time asked = monotonic_now();
-        m_desk.enqueue(
+        m_advisor_queries.enqueue(
             question, urgent,
             [this, asked, handler](const advice_answer& answer)
             {
-                m_advice_times.observe({answer.answered ? "yes" : "no"}, monotonic_now() - asked);
+                m_advisor_query_times.observe({answer.answered ? "yes" : "no"}, monotonic_now() - asked);
                 handler(answer);
             },
             asked);
     };
     hooks.advisors_free = [this]
     {
-        return m_desk.normal_waiting() < most_questions_waiting;
+        return m_advisor_queries.normal_waiting() < max_queued_normal_queries;
     };
     hooks.advisors_idle = [this]
     {
-        return m_desk.mostly_idle(monotonic_now());
+        return m_advisor_queries.mostly_idle(monotonic_now());
     };
     hooks.planned = [this](const std::string& queue, duration waited)
     {
@@ -376,11 +377,11 @@
         return;
     }
     m_pass_due = true;
-    arm_pass(m_last_pass + m_times.pass_gap);
+    schedule_pass(m_last_pass + m_core_settings.min_pass_interval);
 }
 
 // Schedules the next pass and cancels a pending one.
-void core_node::arm_pass(monotonic_time when)
+void core_node::schedule_pass(monotonic_time when)
 {
     m_pass_timer.expires_after(std::max<duration>(when - monotonic_now(), duration{0}));
     m_pass_timer.async_wait(
@@ -405,7 +406,7 @@
     m_dispatcher->pass(now, wall_now());
     if (!m_pass_due)
     {
-        arm_pass(m_dispatcher->next_pass(now));
+        schedule_pass(m_dispatcher->next_pass(now));
     }
 }
 
@@ -439,12 +440,12 @@
 void core_node::fill_leading(figure_page& page) const
 {
     page.add_gauge("walkthread_advice_waiting", "Advisor queries that wait for a client.",
-                   static_cast<double>(m_desk.waiting()));
+                   static_cast<double>(m_advisor_queries.waiting()));
     page.add_gauge("walkthread_unheard_runs",
                    "Runs on workers that have been unresponsive for longer than a lease.",
                    m_dispatcher ? static_cast<double>(m_dispatcher->runs_on_unresponsive_workers()) : 0.0);
     page.add(m_start_waits.collect());
-    page.add(m_advice_times.collect());
+    page.add(m_advisor_query_times.collect());
     const dispatch_counters c = m_dispatcher ? m_dispatcher->counters() : dispatch_counters{};
     const auto count = [&page](const char* name, const char* help, std::uint64_t value)
     {
--- a/src/fabric/fabric_node.cpp
+++ b/src/fabric/fabric_node.cpp
@@ -8,13 +8,13 @@
 
 namespace
 {
-constexpr milliseconds tick_interval{150};   // the shortest query interval in `leader_watch_settings`
-constexpr milliseconds least_suspension{50}; // shorter ones affect no lease or timeout
+constexpr milliseconds tick_interval{150};        // the shortest query interval in `leader_watch_settings`
+constexpr milliseconds min_logged_suspension{50}; // shorter ones affect no lease or timeout
 } // namespace
 
-fabric_node::fabric_node(boost::asio::io_context& loop, fabric_settings settings, outside_hooks hooks,
+fabric_node::fabric_node(boost::asio::io_context& loop, fabric_settings settings, platform_hooks hooks,
                          decision_log& log)
-    : m_loop(loop), m_settings(std::move(settings)), m_outside(std::move(hooks)), m_log(log),
+    : m_loop(loop), m_settings(std::move(settings)), m_platform_hooks(std::move(hooks)), m_log(log),
       m_mesh(
           loop, peer_greeting{m_settings.peer_address, m_settings.name, !m_settings.data_folder.empty()},
           [this](const std::string& from, mesh_message message)
@@ -25,7 +25,7 @@
           {
               log_event(up ? "peer_connected" : "peer_lost", {}, {{"peer", to}, {"reason", reason}});
           },
-          m_settings.most_links),
+          m_settings.max_links),
       m_router(loop, m_mesh,
                [this](const service_call& body, const call_handler& handler)
                {
@@ -58,7 +58,7 @@
 
 void fabric_node::call(service_call body, milliseconds timeout, call_handler handler)
 {
-    if (auto reply = answer_at_once(body, monotonic_now()))
+    if (auto reply = try_answer_locally(body, monotonic_now()))
     {
         handler(std::move(*reply));
         return;
@@ -97,10 +97,10 @@
 }
 
 // Logs a suspension of the machine, which explains why a healthy process lost its leases and timed out calls.
-void fabric_node::note_suspension()
+void fabric_node::log_suspension()
 {
     const duration so_far = suspended_so_far();
-    if (so_far - m_suspended > least_suspension)
+    if (so_far - m_suspended > min_logged_suspension)
     {
         log_event("machine_suspended", {}, {{"for_ms", so_far - m_suspended}});
     }
@@ -109,8 +109,8 @@
 
 void fabric_node::tick()
 {
-    note_suspension();
-    ask_around(monotonic_now());
+    log_suspension();
+    query_leader(monotonic_now());
     m_timer.expires_after(tick_interval);
     m_timer.async_wait(
         [this, alive = m_alive](boost::system::error_code cancelled)
@@ -122,11 +122,11 @@
         });
 }
 
-void fabric_node::ask_around(monotonic_time now)
+void fabric_node::query_leader(monotonic_time now)
 {
-    for (const std::string& peer : m_watch.whom_to_ask(now))
+    for (const std::string& peer : m_watch.peers_to_query(now))
     {
-        m_mesh.send(peer, leader_question{static_cast<bool>(m_outside.ask_advisor)});
+        m_mesh.send(peer, leader_query{static_cast<bool>(m_platform_hooks.ask_advisor)});
     }
     follow(m_watch.leader());
 }
@@ -135,7 +135,7 @@
 {
     m_router.set_leader(leader);
     const std::uint64_t term = known_term();
-    if (leader == m_logged_leader && (leader.empty() || term == m_followed_term))
+    if (leader == m_logged_leader && (leader.empty() || term == m_logged_term))
     {
         return;
     }
@@ -144,37 +144,37 @@
                                                              : "leader_changed";
     log_event(
         event, {},
-        {{"leader", leader}, {"before", m_logged_leader}, {"term", term}, {"term_before", m_followed_term}});
+        {{"leader", leader}, {"before", m_logged_leader}, {"term", term}, {"term_before", m_logged_term}});
     m_logged_leader = leader;
-    m_followed_term = term;
+    m_logged_term = term;
     m_leader_changes += leader.empty() ? 0 : 1;
 }
 
 void fabric_node::receive(const std::string& from, mesh_message message)
 {
-    if (auto* status = std::get_if<leader_note>(&message))
+    if (auto* status = std::get_if<leader_status>(&message))
     {
         m_watch.receive(from, *status, monotonic_now());
-        ask_around(monotonic_now());
+        query_leader(monotonic_now());
     }
-    else if (auto* reply = std::get_if<reply_note>(&message))
+    else if (auto* reply = std::get_if<reply_message>(&message))
     {
-        m_router.take_reply(std::move(*reply));
+        m_router.handle_reply(std::move(*reply));
     }
-    else if (auto* call = std::get_if<call_note>(&message))
+    else if (auto* call = std::get_if<call_message>(&message))
     {
         answer_call(from, *call);
     }
 }
 
-void fabric_node::answer_call(const std::string& from, const call_note& message)
+void fabric_node::answer_call(const std::string& from, const call_message& message)
 {
     auto body = decode<service_call>(message.body);
     const auto answer = [this, alive = m_alive, from, number = message.number](service_reply reply)
     {
         if (*alive)
         {
-            m_mesh.send(from, reply_note{number, std::move(reply)});
+            m_mesh.send(from, reply_message{number, std::move(reply)});
         }
     };
     if (!ok(body))
@@ -188,20 +188,20 @@
 bool fabric_node::handle_locally(const service_call& body, const call_handler& handler)
 {
     const auto* question = std::get_if<advise_call>(&body);
-    if (question == nullptr || !m_outside.ask_advisor)
+    if (question == nullptr || !m_platform_hooks.ask_advisor)
     {
         handler(make_reply(reply_kind::not_leading));
         return false;
     }
-    m_outside.ask_advisor(question->question,
-                          [handler, began = monotonic_now()](const advice_answer& answer)
-                          {
-                              service_reply reply = make_reply(reply_kind::done);
-                              reply.advice = answer;
-                              reply.advice.took_ms =
-                                  std::chrono::duration_cast<milliseconds>(monotonic_now() - began).count();
-                              handler(std::move(reply));
-                          });
+    m_platform_hooks.ask_advisor(
+        question->question,
+        [handler, began = monotonic_now()](const advice_answer& answer)
+        {
+            service_reply reply = make_reply(reply_kind::done);
+            reply.advice = answer;
+            reply.advice.took_ms = std::chrono::duration_cast<milliseconds>(monotonic_now() - began).count();
+            handler(std::move(reply));
+        });
     return true;
 }
 
--- a/src/fabric/leader_outage.cpp
+++ b/src/fabric/leader_outage.cpp
@@ -11,7 +11,7 @@
 {
 }
 
-std::optional<duration> leader_outage::note_leader(bool known, monotonic_time now)
+std::optional<duration> leader_outage::set_leader_known(bool known, monotonic_time now)
 {
     if (!known)
     {
@@ -29,9 +29,9 @@
     return m_outage_start ? now - *m_outage_start : duration{0};
 }
 
-bool leader_outage::hopeless(monotonic_time now) const
+bool leader_outage::rejects_calls(monotonic_time now) const
 {
-    return m_outage_start && age(now) >= m_settings.hold_for;
+    return m_outage_start && age(now) >= m_settings.call_hold_time;
 }
 
 std::int64_t leader_outage::choose_retry_after_s(monotonic_time now, double draw, milliseconds timeout) const
@@ -39,7 +39,7 @@
     const double age_s = std::chrono::duration<double>(age(now)).count();
     const double timeout_s = std::chrono::duration<double>(timeout).count();
     const auto longest = std::min({static_cast<std::int64_t>(std::ceil(age_s)),
-                                   static_cast<std::int64_t>(timeout_s), m_settings.longest_come_back_s});
+                                   static_cast<std::int64_t>(timeout_s), m_settings.max_retry_after_s});
     const double spread = draw * static_cast<double>(std::max<std::int64_t>(longest, 1));
     return std::clamp<std::int64_t>(1 + static_cast<std::int64_t>(spread), 1,
                                     std::max<std::int64_t>(longest, 1));
--- a/src/fabric/leader_watch.cpp
+++ b/src/fabric/leader_watch.cpp
@@ -13,7 +13,7 @@
     m_known_peers.insert(seeds.begin(), seeds.end());
 }
 
-void leader_watch::receive(const std::string& from, const leader_note& leader_report, monotonic_time now)
+void leader_watch::receive(const std::string& from, const leader_status& leader_report, monotonic_time now)
 {
     m_known_peers.insert(leader_report.replicas.begin(), leader_report.replicas.end());
     if (leader_report.leads && leader_report.term >= m_term)
@@ -42,13 +42,13 @@
     }
 }
 
-std::vector<std::string> leader_watch::whom_to_ask(monotonic_time now)
+std::vector<std::string> leader_watch::peers_to_query(monotonic_time now)
 {
-    if (!m_leader.empty() && now - m_last_leader_contact > m_settings.leader_silent)
+    if (!m_leader.empty() && now - m_last_leader_contact > m_settings.leader_timeout)
     {
         m_leader.clear();
     }
-    const milliseconds pause = m_leader.empty() ? m_settings.ask_unknown : m_settings.ask_every;
+    const milliseconds pause = m_leader.empty() ? m_settings.discovery_interval : m_settings.query_interval;
     if (now - m_last_query < pause)
     {
         return {};
@@ -59,9 +59,9 @@
         return {m_known_peers.begin(), m_known_peers.end()};
     }
     // Also query one other peer in turn, so that each knows which processes to notify when it becomes leader.
-    auto other = m_known_peers.upper_bound(m_last_other);
+    auto other = m_known_peers.upper_bound(m_last_other_peer);
     other = other == m_known_peers.end() ? m_known_peers.begin() : other;
-    m_last_other = *other;
+    m_last_other_peer = *other;
     return *other == m_leader ? std::vector<std::string>{m_leader}
                               : std::vector<std::string>{m_leader, *other};
 }
--- a/src/fabric/mesh.cpp
+++ b/src/fabric/mesh.cpp
@@ -21,14 +21,14 @@
             prepare(socket);
             const auto connection = std::make_shared<incoming>(self, std::move(socket));
             connection->read();
-            connection->watch_idle();
+            connection->close_when_idle();
             self->accept();
         });
 }
 
 void mesh::core::accept_later()
 {
-    accept_timer.expires_after(detail::accept_pause);
+    accept_timer.expires_after(detail::accept_retry_delay);
     accept_timer.async_wait(
         [self = shared_from_this()](error_code cancelled)
         {
@@ -42,7 +42,7 @@
 // An evicted link is opened again with the next message.
 void mesh::core::displace_outgoing()
 {
-    if (links.size() < most_links)
+    if (links.size() < max_links)
     {
         return;
     }
@@ -61,7 +61,7 @@
 
 void mesh::core::displace_incoming()
 {
-    if (received.size() < most_links)
+    if (received.size() < max_links)
     {
         return;
     }
@@ -78,9 +78,9 @@
 }
 
 mesh::mesh(asio::io_context& loop, peer_greeting self, handler message_handler, link_handler on_link,
-           std::size_t most_links)
+           std::size_t max_links)
     : m_core(std::make_shared<core>(loop, std::move(self), std::move(message_handler), std::move(on_link),
-                                    most_links))
+                                    max_links))
 {
 }
 
--- a/src/fabric/mesh_core.hpp
+++ b/src/fabric/mesh_core.hpp
@@ -35,17 +35,17 @@
 
 inline constexpr milliseconds connect_timeout{
     600}; // allows for one lost packet inside a region; shorter than an election
-inline constexpr milliseconds connect_pause{200}; // after a failed or lost connection
-inline constexpr int user_timeout_ms = 1200;      // TCP closes a link with bytes unacknowledged for this long
-inline constexpr std::size_t most_queued_bytes =
+inline constexpr milliseconds reconnect_delay{200}; // after a failed or lost connection
+inline constexpr int user_timeout_ms = 1200; // TCP closes a link with bytes unacknowledged for this long
+inline constexpr std::size_t max_queued_bytes =
     8U << 20U; // a longer queue means that the peer does not read; one frame is always allowed
 inline constexpr std::size_t read_size = 16U << 10U;
-inline constexpr milliseconds answer_after{
+inline constexpr milliseconds ack_interval{
     100}; // a receiver acknowledges data with one byte, at most this often
-inline constexpr milliseconds answer_patience{
+inline constexpr milliseconds ack_timeout{
     900}; // without an acknowledgement for this long a link is considered dead
-inline constexpr char answer_byte = '.';
-inline constexpr auto incoming_idle =
+inline constexpr char ack_byte = '.';
+inline constexpr auto incoming_idle_timeout =
     std::chrono::seconds(30); // every process sends a message at least every 2 s, so a
                               // silent connection was abandoned by its sender
 
@@ -68,7 +68,7 @@
 
     core(asio::io_context& io, peer_greeting greeting, handler to, link_handler link, std::size_t link_limit)
         : loop(io), acceptor(io), accept_timer(io), self(std::move(greeting)), message_handler(std::move(to)),
-          on_link(std::move(link)), most_links(link_limit)
+          on_link(std::move(link)), max_links(link_limit)
     {
     }
 
@@ -83,7 +83,7 @@
     peer_greeting self;
     handler message_handler;
     link_handler on_link;
-    std::size_t most_links;
+    std::size_t max_links;
     std::map<std::string, std::shared_ptr<outgoing>> links;
     std::set<incoming*> received;
     std::uint64_t sent = 0;
@@ -103,11 +103,11 @@
     {
         const auto now = monotonic_now();
         last_used = now;
-        if (connected && unacknowledged_since && now - *unacknowledged_since > answer_patience)
+        if (connected && unacknowledged_since && now - *unacknowledged_since > ack_timeout)
         {
             disconnect(asio::error::make_error_code(asio::error::timed_out));
         }
-        if (!queue.empty() && queued + frame.size() > most_queued_bytes)
+        if (!queue.empty() && queued + frame.size() > max_queued_bytes)
         {
             ++owner->dropped;
             return;
@@ -172,7 +172,7 @@
     // The peer sends nothing but acknowledgements on this connection.
     void read_acks()
     {
-        socket.async_read_some(asio::buffer(scrap),
+        socket.async_read_some(asio::buffer(discard_buffer),
                                [self = shared_from_this(), connection_generation = connection_generation](
                                    error_code failed, std::size_t /*bytes*/)
                                {
@@ -246,7 +246,7 @@
             return;
         }
         connecting = true; // until the reconnect delay has passed
-        timer.expires_after(connect_pause);
+        timer.expires_after(reconnect_delay);
         timer.async_wait(
             [self = shared_from_this()](error_code cancelled)
             {
@@ -273,7 +273,7 @@
     std::deque<std::string> queue;
     std::size_t queued = 0;
     std::string batch;
-    std::array<char, 16> scrap{};
+    std::array<char, 16> discard_buffer{};
     std::optional<monotonic_time>
         unacknowledged_since; ///< time of the first write since the last acknowledgement
     monotonic_time last_used; ///< when a message was last queued
@@ -308,20 +308,20 @@
     }
 
     // A connection that stays silent would hold its descriptor until this process exits.
-    void watch_idle()
+    void close_when_idle()
     {
-        idle.expires_after(incoming_idle);
+        idle.expires_after(incoming_idle_timeout);
         idle.async_wait(
             [self = shared_from_this()](error_code cancelled)
             {
-                const bool silent = monotonic_now() - self->last_received >= incoming_idle;
+                const bool silent = monotonic_now() - self->last_received >= incoming_idle_timeout;
                 if (cancelled || !self->socket.is_open())
                 {
                     return;
                 }
                 if (!silent)
                 {
-                    self->watch_idle();
+                    self->close_when_idle();
                     return;
                 }
                 error_code ignored; // may be closed already
@@ -330,21 +330,21 @@
     }
 
     // Acknowledges received data. In a one-way partition the sender cannot rely on TCP to detect a dead link.
-    void answer_soon()
+    void schedule_ack()
     {
         if (ack_pending)
         {
             return;
         }
         ack_pending = true;
-        timer.expires_after(answer_after);
+        timer.expires_after(ack_interval);
         timer.async_wait(
             [self = shared_from_this()](error_code cancelled)
             {
                 self->ack_pending = false;
                 if (!cancelled && !self->owner->closed && self->socket.is_open())
                 {
-                    asio::async_write(self->socket, asio::buffer(&answer_byte, 1),
+                    asio::async_write(self->socket, asio::buffer(&ack_byte, 1),
                                       [self](error_code /*failed*/, std::size_t /*bytes*/) {
                                       }); // on failure the read fails too
                 }
@@ -371,7 +371,7 @@
     bool receive(std::string_view bytes)
     {
         last_received = monotonic_now();
-        answer_soon();
+        schedule_ack();
         reader.feed(bytes);
         for (;;)
         {
--- a/src/fabric/pooled_client.cpp
+++ b/src/fabric/pooled_client.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 constexpr milliseconds check_interval{25}; // resolution of deadlines
-constexpr duration prune_every = seconds(5);
+constexpr duration prune_interval = seconds(5);
 } // namespace
 
 pooled_client::pooled_client(boost::asio::io_context& loop, connection_pool_settings settings,
@@ -24,11 +24,11 @@
     *m_alive = false;
 }
 
-void pooled_client::send(const std::string& address, web_request request, call_need priority,
-                         milliseconds timeout, web_answer_handler handler)
+void pooled_client::send(const std::string& address, web_request request, call_priority priority,
+                         milliseconds timeout, web_response_handler handler)
 {
     const monotonic_time now = monotonic_now();
-    const pooled_call call{m_next_call++};
+    const pooled_call_id call{m_next_call++};
     m_waiting.emplace(call, open_call{std::move(request), timeout, std::move(handler)});
     if (const auto grant = m_pool.acquire(call, address, priority, now + timeout, now))
     {
@@ -38,10 +38,10 @@
     {
         arm();
     }
-    if (now - m_last_prune >= prune_every)
+    if (now - m_last_prune >= prune_interval)
     {
         m_last_prune = now;
-        for (const pooled_id connection : m_pool.close_idle(now))
+        for (const pooled_connection_id connection : m_pool.close_idle(now))
         {
             close(connection);
         }
@@ -75,7 +75,8 @@
 }
 
 // Releases the connection before calling the handler, so that a request sent by the handler can use it.
-void pooled_client::finish(pooled_id connection, const web_answer_handler& handler, const web_result& outcome)
+void pooled_client::finish(pooled_connection_id connection, const web_response_handler& handler,
+                           const web_result& outcome)
 {
     const auto failed_as = [&outcome](web_failure failure)
     {
@@ -97,7 +98,7 @@
     handler(outcome);
 }
 
-void pooled_client::close(pooled_id connection)
+void pooled_client::close(pooled_connection_id connection)
 {
     const auto found = m_channels.find(connection);
     if (found != m_channels.end())
@@ -122,7 +123,7 @@
             {
                 m_armed = false;
                 const monotonic_time now = monotonic_now();
-                for (const pool_grant& grant : m_pool.open_more(now))
+                for (const pool_grant& grant : m_pool.open_additional(now))
                 {
                     begin(grant);
                 }
@@ -135,7 +136,7 @@
         });
 }
 
-void pooled_client::fail_expired(const std::vector<pooled_call>& calls, monotonic_time now)
+void pooled_client::fail_expired(const std::vector<pooled_call_id>& calls, monotonic_time now)
 {
     if (calls.empty())
     {
@@ -147,7 +148,7 @@
                  {"waiting", m_pool.waiting()},
                  {"open", m_pool.open()},
                  {"idle", m_pool.idle()}});
-    for (const pooled_call call : calls)
+    for (const pooled_call_id call : calls)
     {
         auto node = m_waiting.extract(call);
         node.mapped().handler(web_failure::not_sent);
--- a/src/fabric/replica_host.cpp
+++ b/src/fabric/replica_host.cpp
@@ -13,7 +13,7 @@
 
 namespace
 {
-constexpr milliseconds write_again{200}; // after a transient failure, such as a full disk
+constexpr milliseconds write_retry_delay{200}; // after a transient failure, such as a full disk
 }
 
 /// The disk thread: runs one job at a time.
@@ -201,7 +201,7 @@
         m_write_refused = true;
         m_hooks.disk_refuses(error_of(outcome));
         m_writing = true;
-        m_retry.expires_after(write_again);
+        m_retry.expires_after(write_retry_delay);
         m_retry.async_wait(
             [this, alive = m_alive](boost::system::error_code cancelled)
             {
--- a/src/fabric/web_client.cpp
+++ b/src/fabric/web_client.cpp
@@ -23,13 +23,14 @@
 
 constexpr milliseconds connect_timeout{
     700}; // connecting takes a few ms; does not wait for the retransmission of a lost SYN
-constexpr duration own_delay = milliseconds(200); // a timer that fires later shows that this process did not
-                                                  // run, so the timeout says nothing about the peer
+constexpr duration max_timer_delay =
+    milliseconds(200);                // a timer that fires later shows that this process did not
+                                      // run, so the timeout says nothing about the peer
 constexpr int user_timeout_ms = 1500; // TCP closes a connection with bytes unacknowledged for this long
-constexpr std::size_t most_answer_bytes = 4U << 20U; // a worker's list of 500 task ends is about 60 KB
+constexpr std::size_t max_response_bytes = 4U << 20U; // a worker's list of 500 task ends is about 60 KB
 
 // Whether a connection failed because of this machine, so that the failure says nothing about the peer.
-bool lacks_resources(const beast::error_code& failed)
+bool is_local_failure(const beast::error_code& failed)
 {
     return failed == asio::error::no_descriptors || failed == asio::error::no_buffer_space ||
            failed == asio::error::no_memory || failed == asio::error::network_unreachable ||
@@ -46,7 +47,7 @@
     {
     }
 
-    void send(web_request request, milliseconds timeout, web_answer_handler handler) override
+    void send(web_request request, milliseconds timeout, web_response_handler handler) override
     {
         m_queue.push_back({std::move(request), timeout, std::move(handler)});
         if (!m_busy)
@@ -80,7 +81,7 @@
     {
         web_request request;
         milliseconds timeout;
-        web_answer_handler handler;
+        web_response_handler handler;
     };
 
     std::shared_ptr<channel> self()
@@ -110,8 +111,9 @@
             return web_failure::unanswered; // sent on the previous connection
         }
         const bool late = failed == beast::error::timeout &&
-                          asio::steady_timer::clock_type::now() > m_connect_deadline + own_delay;
-        return m_closed || late || lacks_resources(failed) ? web_failure::not_sent : web_failure::unreachable;
+                          asio::steady_timer::clock_type::now() > m_connect_deadline + max_timer_delay;
+        return m_closed || late || is_local_failure(failed) ? web_failure::not_sent
+                                                            : web_failure::unreachable;
     }
 
     void attempt()
@@ -168,8 +170,8 @@
             m_request.set(header.name, header.value);
         }
         const auto& recipient = m_current.request.recipient;
-        m_asks = recipient && recipient->name != m_known_as;
-        const std::string& body = m_asks ? recipient->question : m_current.request.body;
+        m_probing = recipient && recipient->name != m_verified_recipient;
+        const std::string& body = m_probing ? recipient->question : m_current.request.body;
         if (!body.empty())
         {
             m_request.set(http::field::content_type, "application/json");
@@ -188,7 +190,7 @@
     void read()
     {
         m_parser.emplace();
-        m_parser->body_limit(most_answer_bytes);
+        m_parser->body_limit(max_response_bytes);
         http::async_read(*m_stream, m_buffer, *m_parser,
                          [keep = self()](beast::error_code failed, std::size_t /*bytes*/)
                          {
@@ -202,7 +204,7 @@
                              {
                                  keep->drop_connection();
                              }
-                             web_answer answer;
+                             web_response answer;
                              answer.status = response.result_int();
                              answer.body = std::move(response.body());
                              answer.repeated = keep->m_repeated;
@@ -211,9 +213,9 @@
     }
 
     // If another process answers the probe, its response is returned and the request is not sent.
-    void handle_response(web_answer answer)
+    void handle_response(web_response answer)
     {
-        if (!m_asks || !m_current.request.recipient->is_meant(answer))
+        if (!m_probing || !m_current.request.recipient->is_from_recipient(answer))
         {
             finish(std::move(answer));
             return;
@@ -223,7 +225,7 @@
             finish(web_failure::unanswered); // the next attempt probes again
             return;
         }
-        m_known_as = m_current.request.recipient->name;
+        m_verified_recipient = m_current.request.recipient->name;
         m_deadline = asio::steady_timer::clock_type::now() + m_current.timeout;
         write();
     }
@@ -246,13 +248,13 @@
         m_stream->socket().close(ignored);
         m_stream.emplace(m_loop);
         m_buffer.clear();
-        m_known_as.clear();
+        m_verified_recipient.clear();
         m_open = false;
     }
 
     void finish(web_result outcome)
     {
-        const web_answer_handler handler = std::exchange(m_current.handler, nullptr);
+        const web_response_handler handler = std::exchange(m_current.handler, nullptr);
         const auto keep = self();
         if (handler)
         {
@@ -271,8 +273,8 @@
     waiting_request m_current;
     std::chrono::steady_clock::time_point m_deadline;
     std::chrono::steady_clock::time_point m_connect_deadline;
-    std::string m_known_as; ///< the recipient that has identified itself on the current connection
-    bool m_asks = false;    ///< a probe is in flight, ahead of the request
+    std::string m_verified_recipient; ///< the recipient that has identified itself on the current connection
+    bool m_probing = false;           ///< a probe is in flight, ahead of the request
     bool m_busy = false;
     bool m_open = false;
     bool m_reused = false;
--- a/src/fabric/web_listener.cpp
+++ b/src/fabric/web_listener.cpp
@@ -21,7 +21,7 @@
 namespace http = boost::beast::http;
 using tcp = asio::ip::tcp;
 
-web_request to_plain(http::request<http::string_body>& in)
+web_request to_web_request(http::request<http::string_body>& in)
 {
     web_request out;
     out.method = std::string(in.method_string());
@@ -57,22 +57,22 @@
 {
     struct session;
 
-    core(asio::io_context& io, web_bounds limits, web_handler request_handler)
+    core(asio::io_context& io, web_limits limits, web_handler request_handler)
         : loop(io), acceptor(io), accept_timer(io), bounds(limits), handler(std::move(request_handler))
     {
     }
 
     void accept();
     void accept_later();
-    [[nodiscard]] bool make_room();
+    [[nodiscard]] bool ensure_capacity();
 
     asio::io_context& loop;
     tcp::acceptor acceptor;
     asio::steady_timer accept_timer;
-    web_bounds bounds;
+    web_limits bounds;
     web_handler handler;
     std::list<session*> idle; ///< without a request, longest idle first
-    bool winding_down = false;
+    bool draining_connections = false;
     std::size_t sessions = 0;
     std::size_t busy = 0;
 };
@@ -104,15 +104,15 @@
 
     void set_idle(bool now_idle)
     {
-        if (idle_place)
+        if (idle_position)
         {
-            owner->idle.erase(*idle_place);
-            idle_place.reset();
+            owner->idle.erase(*idle_position);
+            idle_position.reset();
         }
         if (now_idle)
         {
             owner->idle.push_back(this);
-            idle_place = std::prev(owner->idle.end());
+            idle_position = std::prev(owner->idle.end());
         }
     }
 
@@ -129,7 +129,7 @@
     {
         set_busy(false);
         set_idle(true);
-        stream.expires_after(owner->bounds.idle_patience);
+        stream.expires_after(owner->bounds.idle_timeout);
         parser.emplace();
         parser->header_limit(static_cast<std::uint32_t>(owner->bounds.header_bytes));
         parser->body_limit(owner->bounds.body_bytes);
@@ -155,7 +155,7 @@
     {
         set_idle(false);
         set_busy(true);
-        stream.expires_after(owner->bounds.header_patience);
+        stream.expires_after(owner->bounds.request_timeout);
         http::async_read(stream, buffer, *parser,
                          [self = shared_from_this()](beast::error_code failed, std::size_t /*bytes*/)
                          {
@@ -167,18 +167,18 @@
     {
         if (failed == http::error::body_limit)
         {
-            answer_and_close(413);
+            respond_and_close(413);
             return;
         }
         if (failed == http::error::header_limit)
         {
-            answer_and_close(431);
+            respond_and_close(431);
             return;
         }
         if (failed && failed != http::error::end_of_stream &&
             failed.category() == http::make_error_code(http::error::bad_method).category())
         {
-            answer_and_close(400);
+            respond_and_close(400);
             return;
         }
         if (failed)
@@ -188,21 +188,21 @@
         http::request<http::string_body> request = parser->release();
         keep_alive = request.keep_alive();
         stream.expires_never();
-        owner->handler(to_plain(request),
-                       [self = shared_from_this()](web_answer answer)
+        owner->handler(to_web_request(request),
+                       [self = shared_from_this()](web_response answer)
                        {
                            self->write(std::move(answer));
                        });
     }
 
-    void answer_and_close(unsigned status)
+    void respond_and_close(unsigned status)
     {
         keep_alive = false;
-        write(web_answer{
+        write(web_response{
             status, R"({"error":{"detail":"The request is malformed or too large."}})", {}, {}, false});
     }
 
-    void write(web_answer answer)
+    void write(web_response answer)
     {
         response = {};
         response.version(11);
@@ -220,9 +220,9 @@
             response.set(header.name, header.value);
         }
         response.body() = std::move(answer.body);
-        response.keep_alive(keep_alive && !owner->winding_down);
+        response.keep_alive(keep_alive && !owner->draining_connections);
         response.prepare_payload();
-        stream.expires_after(owner->bounds.idle_patience);
+        stream.expires_after(owner->bounds.idle_timeout);
         http::async_write(stream, response,
                           [self = shared_from_this()](beast::error_code failed, std::size_t /*bytes*/)
                           {
@@ -243,11 +243,11 @@
     http::response<http::string_body> response;
     bool keep_alive = true;
     bool is_busy = false;
-    std::optional<std::list<session*>::iterator> idle_place;
+    std::optional<std::list<session*>::iterator> idle_position;
 };
 
 // Returns whether another connection can be accepted; closes the one that has been idle longest if necessary.
-bool web_listener::core::make_room()
+bool web_listener::core::ensure_capacity()
 {
     if (sessions < bounds.connections)
     {
@@ -263,7 +263,7 @@
 
 void web_listener::core::accept_later()
 {
-    accept_timer.expires_after(detail::accept_pause);
+    accept_timer.expires_after(detail::accept_retry_delay);
     accept_timer.async_wait(
         [self = shared_from_this()](beast::error_code cancelled)
         {
@@ -288,7 +288,7 @@
                 self->accept_later();
                 return;
             }
-            if (self->make_room())
+            if (self->ensure_capacity())
             {
                 beast::error_code ignored; // the option only improves latency
                 socket.set_option(tcp::no_delay(true), ignored);
@@ -298,7 +298,7 @@
         });
 }
 
-web_listener::web_listener(asio::io_context& loop, web_bounds bounds, web_handler handler)
+web_listener::web_listener(asio::io_context& loop, web_limits bounds, web_handler handler)
     : m_core(std::make_shared<core>(loop, bounds, std::move(handler)))
 {
 }
@@ -318,9 +318,9 @@
     return failed;
 }
 
-void web_listener::wind_down()
+void web_listener::drain_connections()
 {
-    m_core->winding_down = true;
+    m_core->draining_connections = true;
 }
 
 void web_listener::stop_accepting()
--- a/tests/src/narrow_pool.hpp
+++ b/tests/src/narrow_pool.hpp
@@ -32,11 +32,11 @@
 
     void deliver_poll(const poll_order& order, const poll_handler& handler) override
     {
-        const pooled_call call{++m_calls};
+        const pooled_call_id call{++m_calls};
         m_waiting[call] = {order, handler};
         const duration timeout = milliseconds(order.wait_ms) + order.timeout;
         if (const auto grant =
-                m_connections.acquire(call, order.to.address, call_need::usual, now() + timeout, now()))
+                m_connections.acquire(call, order.to.address, call_priority::usual, now() + timeout, now()))
         {
             begin(*grant);
         }
@@ -62,11 +62,11 @@
     }
     void expire()
     {
-        for (const pool_grant& grant : m_connections.open_more(now()))
+        for (const pool_grant& grant : m_connections.open_additional(now()))
         {
             begin(grant);
         }
-        for (const pooled_call call : m_connections.expire(now()))
+        for (const pooled_call_id call : m_connections.expire(now()))
         {
             m_waiting.extract(call).mapped().second({order_outcome::not_sent, {}, 0, {}, {}});
         }
@@ -78,7 +78,7 @@
     }
 
     connection_pool m_connections;
-    std::map<pooled_call, std::pair<poll_order, poll_handler>> m_waiting;
+    std::map<pooled_call_id, std::pair<poll_order, poll_handler>> m_waiting;
     std::uint64_t m_calls = 0;
     std::size_t m_connections_opened = 0;
 };
--- a/tests/src/unit-connections.cpp
+++ b/tests/src/unit-connections.cpp
@@ -22,31 +22,31 @@
 }
 
 // Drives a pool in virtual time and checks its invariants after each step.
-struct pool_run
+struct pool_simulation
 {
     struct use
     {
-        pooled_call call{};
+        pooled_call_id call{};
         std::string address;
         bool busy{};
     };
     struct call_record
     {
         std::string address;
-        call_need priority{};
+        call_priority priority{};
         monotonic_time since{};
         bool granted{};
         bool expired{};
     };
 
-    pool_run(std::size_t max_connections, std::size_t most_each)
-        : bounds{max_connections, most_each, milliseconds(25), seconds(15)}, pool(bounds)
+    pool_simulation(std::size_t max_connections, std::size_t max_per_address)
+        : bounds{max_connections, max_per_address, milliseconds(25), seconds(15)}, pool(bounds)
     {
     }
 
-    void acquire(const std::string& address, call_need priority, milliseconds timeout)
+    void acquire(const std::string& address, call_priority priority, milliseconds timeout)
     {
-        const pooled_call call{next++};
+        const pooled_call_id call{next++};
         calls[call] = {address, priority, now, false, false};
         if (const auto grant = pool.acquire(call, address, priority, now + timeout, now))
         {
@@ -71,7 +71,7 @@
         uses[grant.connection] = {grant.call, grant.address, true};
         opened += grant.is_new ? 1 : 0;
     }
-    void finish(pooled_id connection, bool open)
+    void finish(pooled_connection_id connection, bool open)
     {
         const use done = uses.at(connection);
         if (open)
@@ -91,11 +91,11 @@
     }
     void expire()
     {
-        for (const pool_grant& grant : pool.open_more(now))
+        for (const pool_grant& grant : pool.open_additional(now))
         {
             apply_grant(grant);
         }
-        for (const pooled_call call : pool.expire(now))
+        for (const pooled_call_id call : pool.expire(now))
         {
             BOOST_REQUIRE(!calls.at(call).granted);
             calls.at(call).expired = true;
@@ -107,9 +107,9 @@
         BOOST_REQUIRE_LE(uses.size(), bounds.max_connections);
         BOOST_REQUIRE_EQUAL(uses.size(), pool.open());
     }
-    [[nodiscard]] std::vector<pooled_id> busy() const
+    [[nodiscard]] std::vector<pooled_connection_id> busy() const
     {
-        std::vector<pooled_id> out;
+        std::vector<pooled_connection_id> out;
         for (const auto& [id, item] : uses)
         {
             if (item.busy)
@@ -126,25 +126,25 @@
     std::uint64_t next = 1;
     std::size_t opened = 0;
     duration longest_wait{};
-    std::map<pooled_call, call_record> calls;
-    std::map<pooled_id, use> uses;
+    std::map<pooled_call_id, call_record> calls;
+    std::map<pooled_connection_id, use> uses;
 };
 } // namespace
 
 BOOST_AUTO_TEST_CASE(a_call_uses_an_idle_connection_of_its_address)
 {
-    pool_run run(4, 2);
-    run.acquire("a", call_need::usual, milliseconds(300));
+    pool_simulation run(4, 2);
+    run.acquire("a", call_priority::usual, milliseconds(300));
     run.finish(run.busy().front(), true);
-    run.acquire("a", call_need::usual, milliseconds(300));
+    run.acquire("a", call_priority::usual, milliseconds(300));
     BOOST_TEST(run.opened == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_call_waits_a_moment_for_a_busy_connection_before_it_opens_another)
+BOOST_AUTO_TEST_CASE(a_call_waits_for_a_busy_connection_before_it_opens_another)
 {
-    pool_run run(4, 2);
-    run.acquire("a", call_need::usual, milliseconds(300));
-    run.acquire("a", call_need::usual, milliseconds(300));
+    pool_simulation run(4, 2);
+    run.acquire("a", call_priority::usual, milliseconds(300));
+    run.acquire("a", call_priority::usual, milliseconds(300));
     BOOST_TEST(run.opened == 1U);
     run.now += milliseconds(24);
     run.expire();
@@ -152,7 +152,7 @@
     run.now += milliseconds(1);
     run.expire();
     BOOST_TEST(run.opened == 2U);
-    run.acquire("a", call_need::usual, milliseconds(300));
+    run.acquire("a", call_priority::usual, milliseconds(300));
     run.now += milliseconds(30);
     run.expire();
     BOOST_TEST(run.opened == 2U); // the limit for one address is reached
@@ -160,16 +160,16 @@
     BOOST_TEST(run.pool.waiting() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(the_longest_idle_connection_gives_way)
+BOOST_AUTO_TEST_CASE(the_longest_idle_connection_is_closed_first)
 {
-    pool_run run(2, 1);
+    pool_simulation run(2, 1);
     for (const char* address : {"a", "b"})
     {
-        run.acquire(address, call_need::usual, milliseconds(300));
+        run.acquire(address, call_priority::usual, milliseconds(300));
         run.finish(run.busy().front(), true);
         run.now += milliseconds(1);
     }
-    run.acquire("c", call_need::usual, milliseconds(300));
+    run.acquire("c", call_priority::usual, milliseconds(300));
     BOOST_TEST(std::none_of(run.uses.begin(), run.uses.end(),
                             [](const auto& item)
                             {
@@ -177,43 +177,43 @@
                             }));
 }
 
-BOOST_AUTO_TEST_CASE(a_connection_that_comes_free_goes_to_who_needs_it_most)
+BOOST_AUTO_TEST_CASE(a_released_connection_goes_to_the_highest_priority_call)
 {
-    pool_run run(1, 1);
-    run.acquire("a", call_need::usual, milliseconds(300));
-    run.acquire("b", call_need::usual, milliseconds(300));
-    run.acquire("a", call_need::usual, milliseconds(300));
-    run.acquire("c", call_need::urgent, milliseconds(300));
+    pool_simulation run(1, 1);
+    run.acquire("a", call_priority::usual, milliseconds(300));
+    run.acquire("b", call_priority::usual, milliseconds(300));
+    run.acquire("a", call_priority::usual, milliseconds(300));
+    run.acquire("c", call_priority::urgent, milliseconds(300));
     run.finish(run.busy().front(), true);
     BOOST_TEST(run.uses.begin()->second.address == "c");
     run.finish(run.busy().front(), true);
     BOOST_TEST(run.uses.begin()->second.address == "b"); // queued before the second call to a
 }
 
-BOOST_AUTO_TEST_CASE(a_call_that_waits_for_too_long_is_given_up_and_never_granted)
+BOOST_AUTO_TEST_CASE(an_expired_call_is_never_granted)
 {
-    pool_run run(1, 1);
-    run.acquire("a", call_need::usual, milliseconds(300));
-    run.acquire("b", call_need::usual, milliseconds(300));
+    pool_simulation run(1, 1);
+    run.acquire("a", call_priority::usual, milliseconds(300));
+    run.acquire("b", call_priority::usual, milliseconds(300));
     run.now += milliseconds(300);
     run.expire();
-    BOOST_TEST(run.calls.at(pooled_call{2}).expired);
+    BOOST_TEST(run.calls.at(pooled_call_id{2}).expired);
     run.finish(run.busy().front(), true);
     BOOST_TEST(run.pool.idle() == 1U);
     BOOST_TEST(run.pool.waiting() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(idle_connections_are_closed_after_a_while)
+BOOST_AUTO_TEST_CASE(idle_connections_are_closed_after_the_idle_timeout)
 {
-    pool_run run(4, 1);
-    run.acquire("a", call_need::usual, milliseconds(300));
+    pool_simulation run(4, 1);
+    run.acquire("a", call_priority::usual, milliseconds(300));
     run.finish(run.busy().front(), true);
     BOOST_TEST(run.pool.close_idle(run.now + seconds(14)).empty());
     BOOST_TEST(run.pool.close_idle(run.now + seconds(15)).size() == 1U);
     BOOST_TEST(run.pool.open() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(random_calls_keep_the_bounds_and_none_is_forgotten)
+BOOST_AUTO_TEST_CASE(random_calls_respect_the_limits_and_all_complete_or_expire)
 {
     for (const std::size_t workers : {100U, 1100U, 4500U})
     {
@@ -226,19 +226,20 @@
                 {
                     return static_cast<std::size_t>(random() % bound);
                 };
-                pool_run run(120, 3);
+                pool_simulation run(120, 3);
                 for (int step = 0; step < 3000; ++step)
                 {
                     run.now += milliseconds(1);
                     for (std::size_t i = below(4); i > 0; --i)
                     {
                         run.acquire(address_of(below(workers)),
-                                    below(4) == 0 ? call_need::urgent : call_need::usual, milliseconds(300));
+                                    below(4) == 0 ? call_priority::urgent : call_priority::usual,
+                                    milliseconds(300));
                     }
                     const auto busy = run.busy();
                     for (std::size_t i = std::min(below(5), busy.size()); i > 0; --i)
                     {
-                        const pooled_id id = busy[below(busy.size())];
+                        const pooled_connection_id id = busy[below(busy.size())];
                         if (run.uses.contains(id) && run.uses.at(id).busy)
                         {
                             run.finish(id, below(20) != 0);
@@ -246,7 +247,7 @@
                     }
                     run.expire();
                 }
-                for (const pooled_id id : run.busy())
+                for (const pooled_connection_id id : run.busy())
                 {
                     run.finish(id, true);
                 }
@@ -268,15 +269,15 @@
 
 // Each worker has one pending poll, which the worker answers after a second. With fewer connections than
 // workers, the connections must go round so that no worker is starved.
-BOOST_AUTO_TEST_CASE(looks_at_more_workers_than_connections_go_round)
+BOOST_AUTO_TEST_CASE(polls_of_more_workers_than_connections_are_fair)
 {
     for (const std::size_t workers : {100U, 1100U, 4500U})
     {
         const std::size_t max_connections = std::max<std::size_t>(workers / 3, 40);
-        pool_run run(max_connections, 1);
+        pool_simulation run(max_connections, 1);
         std::map<std::string, int> poll_counts;
-        std::multimap<monotonic_time, pooled_id> answers;
-        std::set<pooled_id> known;
+        std::multimap<monotonic_time, pooled_connection_id> answers;
+        std::set<pooled_connection_id> known;
         const auto schedule = [&]
         {
             for (const auto& [id, use] : run.uses)
@@ -289,7 +290,7 @@
         };
         for (std::size_t i = 0; i < workers; ++i)
         {
-            run.acquire(address_of(i), call_need::usual, milliseconds(60000));
+            run.acquire(address_of(i), call_priority::usual, milliseconds(60000));
         }
         schedule();
         for (std::size_t i = 0; i < 3 * workers; ++i)
@@ -301,7 +302,7 @@
             const std::string address = run.uses.at(id).address;
             ++poll_counts[address];
             run.finish(id, true);
-            run.acquire(address, call_need::usual, milliseconds(60000));
+            run.acquire(address, call_priority::usual, milliseconds(60000));
             schedule();
         }
         BOOST_TEST(poll_counts.size() == workers);
@@ -317,12 +318,12 @@
 // Descriptor budget
 // ---------------------------------------------------------------------------------------------------------
 
-BOOST_AUTO_TEST_CASE(parts_never_sum_to_more_than_the_limit)
+BOOST_AUTO_TEST_CASE(budget_parts_never_exceed_the_limit)
 {
     for (const bool replica : {false, true})
     {
         const descriptor_uses uses{replica};
-        for (std::size_t limit = needs_of(uses).least; limit < 20000; limit += 37)
+        for (std::size_t limit = required_descriptors(uses).least; limit < 20000; limit += 37)
         {
             const auto parts = divide_descriptors(limit, uses);
             BOOST_REQUIRE(ok(parts));
@@ -334,18 +335,18 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_limit_below_the_least_need_is_an_error_with_both_figures)
+BOOST_AUTO_TEST_CASE(a_limit_below_the_minimum_is_an_error_with_both_figures)
 {
     const descriptor_uses uses{true};
-    const std::size_t least = needs_of(uses).least;
+    const std::size_t least = required_descriptors(uses).least;
     const auto parts = divide_descriptors(least - 1, uses);
     BOOST_REQUIRE(!ok(parts));
     BOOST_TEST(error_of(parts).find(std::to_string(least)) != std::string::npos);
     BOOST_TEST(error_of(parts).find(std::to_string(least - 1)) != std::string::npos);
-    BOOST_TEST(needs_of(uses).usual > least);
+    BOOST_TEST(required_descriptors(uses).usual > least);
 }
 
-BOOST_AUTO_TEST_CASE(each_of_a_thousand_workers_has_a_look_of_its_own)
+BOOST_AUTO_TEST_CASE(each_of_a_thousand_workers_has_a_poll_connection)
 {
     const auto parts = divide_descriptors(4100, descriptor_uses{true});
     BOOST_REQUIRE(ok(parts));
--- a/tests/src/unit-fabric.cpp
+++ b/tests/src/unit-fabric.cpp
@@ -39,11 +39,11 @@
 // Leader discovery
 // ---------------------------------------------------------------------------------------------------------
 
-BOOST_AUTO_TEST_CASE(everybody_known_is_asked_until_one_says_that_it_leads)
+BOOST_AUTO_TEST_CASE(all_known_peers_are_queried_until_a_leader_is_found)
 {
     leader_watch watch({"a", "b"}, {});
-    BOOST_TEST(watch.whom_to_ask(at_ms(0)).size() == 2U);
-    BOOST_TEST(watch.whom_to_ask(at_ms(50)).empty());
+    BOOST_TEST(watch.peers_to_query(at_ms(0)).size() == 2U);
+    BOOST_TEST(watch.peers_to_query(at_ms(50)).empty());
     watch.receive("a", {false, "c", 3, {"a", "b", "c"}}, at_ms(60));
     BOOST_TEST(watch.leader() == "c"); // reported by a peer; its own status confirms it
     BOOST_TEST(watch.known().size() == 3U);
@@ -51,11 +51,11 @@
     BOOST_TEST(watch.leader() == "c");
 }
 
-BOOST_AUTO_TEST_CASE(a_silent_leader_is_forgotten_and_an_older_one_does_not_come_back)
+BOOST_AUTO_TEST_CASE(a_silent_leader_is_dropped_and_an_older_term_is_ignored)
 {
     leader_watch watch({"a", "b"}, {});
     watch.receive("a", {true, "a", 5, {}}, at_ms(0));
-    BOOST_TEST(watch.whom_to_ask(at_ms(1200)).size() == 2U);
+    BOOST_TEST(watch.peers_to_query(at_ms(1200)).size() == 2U);
     BOOST_TEST(watch.leader().empty());
     watch.receive("b", {true, "b", 6, {}}, at_ms(1300));
     watch.receive("a", {true, "a", 5, {}}, at_ms(1310));
@@ -63,34 +63,34 @@
 }
 
 // A new leader can use an advisor client only after the client's first leader query.
-BOOST_AUTO_TEST_CASE(a_new_leader_is_asked_at_once)
+BOOST_AUTO_TEST_CASE(a_new_leader_is_queried_at_once)
 {
     leader_watch watch({"a", "b"}, {});
     watch.receive("a", {true, "a", 5, {}}, at_ms(0));
-    BOOST_TEST(watch.whom_to_ask(at_ms(400)).size() > 0U);
-    BOOST_TEST(watch.whom_to_ask(at_ms(410)).empty());
+    BOOST_TEST(watch.peers_to_query(at_ms(400)).size() > 0U);
+    BOOST_TEST(watch.peers_to_query(at_ms(410)).empty());
     watch.receive("b", {true, "b", 6, {}}, at_ms(420));
-    const std::vector<std::string> asked = watch.whom_to_ask(at_ms(420));
+    const std::vector<std::string> asked = watch.peers_to_query(at_ms(420));
     BOOST_TEST((std::find(asked.begin(), asked.end(), "b") != asked.end()));
 }
 
 // Guards against holding calls until their timeout in an outage of several seconds, such as a power loss of
 // all replicas.
-BOOST_AUTO_TEST_CASE(calls_are_held_while_an_election_may_bring_a_leader_and_refused_later)
+BOOST_AUTO_TEST_CASE(calls_are_held_during_an_election_and_rejected_later)
 {
     leader_outage outage(at_ms(0));
-    BOOST_TEST((outage.note_leader(true, at_ms(100)) == std::optional<duration>(milliseconds(100))));
+    BOOST_TEST((outage.set_leader_known(true, at_ms(100)) == std::optional<duration>(milliseconds(100))));
     BOOST_TEST((outage.age(at_ms(5000)) == duration{0}));
-    BOOST_TEST(!outage.hopeless(at_ms(5000)));
-    BOOST_TEST(!outage.note_leader(false, at_ms(5000)).has_value());
-    BOOST_TEST(!outage.note_leader(false, at_ms(5600)).has_value()); // still the same outage
-    BOOST_TEST(!outage.hopeless(at_ms(6950)));
-    BOOST_TEST(outage.hopeless(at_ms(7000)));
-    BOOST_TEST((outage.note_leader(true, at_ms(12000)) == std::optional<duration>(seconds(7))));
-    BOOST_TEST(!outage.hopeless(at_ms(12100)));
+    BOOST_TEST(!outage.rejects_calls(at_ms(5000)));
+    BOOST_TEST(!outage.set_leader_known(false, at_ms(5000)).has_value());
+    BOOST_TEST(!outage.set_leader_known(false, at_ms(5600)).has_value()); // still the same outage
+    BOOST_TEST(!outage.rejects_calls(at_ms(6950)));
+    BOOST_TEST(outage.rejects_calls(at_ms(7000)));
+    BOOST_TEST((outage.set_leader_known(true, at_ms(12000)) == std::optional<duration>(seconds(7))));
+    BOOST_TEST(!outage.rejects_calls(at_ms(12100)));
 }
 
-BOOST_AUTO_TEST_CASE(callers_come_back_later_the_longer_there_is_no_leader_and_not_all_at_once)
+BOOST_AUTO_TEST_CASE(retry_delays_grow_with_the_outage_and_are_spread)
 {
     leader_outage outage(at_ms(0));
     const milliseconds long_timeout{10'000};
@@ -104,7 +104,7 @@
 }
 
 // A call that was sent to a leader may have taken effect, so it must not be reported as "not run".
-BOOST_AUTO_TEST_CASE(only_calls_that_were_not_sent_are_refused_without_a_leader)
+BOOST_AUTO_TEST_CASE(only_unsent_calls_are_rejected_without_a_leader)
 {
     asio::io_context loop;
     mesh peers(
@@ -127,7 +127,7 @@
     router.call(submit_call{}, milliseconds(4500), listen("sent"));
     router.set_leader("");
     router.call(submit_call{}, milliseconds(60'000), listen("held"));
-    router.call(get_catalogue_call{}, milliseconds(60'000), listen("operator"));
+    router.call(get_configuration_call{}, milliseconds(60'000), listen("operator"));
     BOOST_TEST(outcomes.empty());
     const auto run_until = [&](std::size_t count) // the time limit only stops a hanging test
     {
@@ -151,18 +151,18 @@
 
 namespace
 {
-struct desk_fixture
+struct advisor_query_fixture
 {
-    std::vector<std::pair<std::string, advice_desk::answer_handler>> asked;
-    advice_desk advisor_queries{
-        [this](const std::string& client, const advice_question&, advice_desk::answer_handler handler)
+    std::vector<std::pair<std::string, advisor_query_queue::answer_handler>> asked;
+    advisor_query_queue advisor_queries{
+        [this](const std::string& client, const advice_question&, advisor_query_queue::answer_handler handler)
         {
             asked.emplace_back(client, std::move(handler));
         }};
     monotonic_time now = at_ms(0);
     int answers = 0;
 
-    desk_fixture()
+    advisor_query_fixture()
     {
         advisor_queries.set_clock(
             [this]
@@ -183,9 +183,9 @@
 };
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(one_question_at_a_time_for_each_process, desk_fixture)
+BOOST_FIXTURE_TEST_CASE(each_client_has_one_query_in_flight, advisor_query_fixture)
 {
-    advisor_queries.note_asker("a", now);
+    advisor_queries.record_client("a", now);
     enqueue(true);
     enqueue(true);
     BOOST_TEST(asked.size() == 1U);
@@ -194,11 +194,11 @@
     BOOST_TEST(answers == 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(some_processes_are_kept_for_urgent_questions, desk_fixture)
+BOOST_FIXTURE_TEST_CASE(some_clients_are_reserved_for_urgent_queries, advisor_query_fixture)
 {
     for (const char* name : {"a", "b", "c", "d"})
     {
-        advisor_queries.note_asker(name, now);
+        advisor_queries.record_client(name, now);
     }
     for (int i = 0; i < 4; ++i)
     {
@@ -209,26 +209,26 @@
     BOOST_TEST(asked.size() == 3U);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_question_that_waited_for_long_goes_ahead_of_urgent_ones, desk_fixture)
+BOOST_FIXTURE_TEST_CASE(a_long_waiting_query_goes_ahead_of_urgent_ones, advisor_query_fixture)
 {
-    advisor_queries.note_asker("a", now);
+    advisor_queries.record_client("a", now);
     enqueue(true);
     enqueue(false);
     for (int i = 0; i < 20 && advisor_queries.normal_waiting() > 0; ++i)
     {
         enqueue(true); // there is always an urgent query
         now += milliseconds(100);
-        advisor_queries.note_asker("a", now);
+        advisor_queries.record_client("a", now);
         asked.back().second({true, {}, {}, 0});
     }
     BOOST_TEST(advisor_queries.normal_waiting() == 0U);
     BOOST_TEST((now - at_ms(0) > seconds(1)));
 }
 
-BOOST_FIXTURE_TEST_CASE(a_process_without_answer_is_passed_over_for_a_while, desk_fixture)
+BOOST_FIXTURE_TEST_CASE(a_client_without_an_answer_is_in_backoff, advisor_query_fixture)
 {
-    advisor_queries.note_asker("a", now);
-    advisor_queries.note_asker("b", now);
+    advisor_queries.record_client("a", now);
+    advisor_queries.record_client("b", now);
     enqueue(true);
     asked.front().second({});
     enqueue(true);
@@ -238,7 +238,7 @@
 
 // Guards against alternating forever between two clients that report but cannot be reached, while a third one
 // would respond.
-BOOST_FIXTURE_TEST_CASE(a_question_reaches_the_one_process_that_answers, desk_fixture)
+BOOST_FIXTURE_TEST_CASE(a_query_reaches_the_one_client_that_answers, advisor_query_fixture)
 {
     constexpr milliseconds timeout{2500};
     constexpr milliseconds retry{250};
@@ -248,7 +248,7 @@
     {
         for (const char* name : {"a", "b", "c"})
         {
-            advisor_queries.note_asker(name, now);
+            advisor_queries.record_client(name, now);
         }
         const std::size_t before = asked.size();
         enqueue(true);
@@ -263,13 +263,13 @@
 }
 
 // Guards against waiting for the timeout of an unreachable client again each time its back-off ends.
-BOOST_FIXTURE_TEST_CASE(a_process_that_answers_is_asked_before_one_that_did_not, desk_fixture)
+BOOST_FIXTURE_TEST_CASE(a_client_that_answers_is_preferred_to_one_that_failed, advisor_query_fixture)
 {
     std::size_t lost = 0;
     for (int i = 0; i < 10; ++i)
     {
-        advisor_queries.note_asker("a", now);
-        advisor_queries.note_asker("b", now);
+        advisor_queries.record_client("a", now);
+        advisor_queries.record_client("b", now);
         enqueue(true);
         const bool answers_it = asked.back().first == "b";
         lost += answers_it ? 0 : 1;
@@ -279,19 +279,19 @@
     BOOST_TEST(lost == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_process_that_reports_no_more_is_not_asked, desk_fixture)
+BOOST_FIXTURE_TEST_CASE(a_client_that_stops_reporting_is_not_queried, advisor_query_fixture)
 {
-    advisor_queries.note_asker("a", now);
+    advisor_queries.record_client("a", now);
     now += seconds(5);
     enqueue(true);
     BOOST_TEST(asked.empty());
-    advisor_queries.note_asker("b", now);
+    advisor_queries.record_client("b", now);
     BOOST_TEST(asked.size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(answers_from_before_a_change_of_leader_count_for_nothing, desk_fixture)
+BOOST_FIXTURE_TEST_CASE(answers_from_before_a_leader_change_are_ignored, advisor_query_fixture)
 {
-    advisor_queries.note_asker("a", now);
+    advisor_queries.record_client("a", now);
     enqueue(true);
     advisor_queries.clear();
     asked.front().second({true, {}, {}, 0});
@@ -316,7 +316,7 @@
         loop, {b, "b", false},
         [&](const std::string& from, mesh_message message)
         {
-            if (std::holds_alternative<leader_question>(message))
+            if (std::holds_alternative<leader_query>(message))
             {
                 heard_from = from;
                 loop.stop();
@@ -325,13 +325,13 @@
         [](const std::string&, bool, const std::string&) {});
     BOOST_REQUIRE_EQUAL(first.open(), "");
     BOOST_REQUIRE_EQUAL(second.open(), "");
-    first.send(b, leader_question{});
+    first.send(b, leader_query{});
     loop.run_for(seconds(20));
     BOOST_TEST(heard_from == a);
 }
 
 // Guards against a one-way partition after which a link stays open but delivers nothing until a restart.
-BOOST_AUTO_TEST_CASE(a_link_that_gets_no_answer_is_opened_again)
+BOOST_AUTO_TEST_CASE(an_unacknowledged_link_is_reopened)
 {
     asio::io_context loop;
     const std::uint16_t port = free_port();
@@ -361,7 +361,7 @@
     asio::steady_timer send_timer(loop);
     std::function<void()> send = [&]
     {
-        sender.send(loopback(port), leader_question{});
+        sender.send(loopback(port), leader_query{});
         send_timer.expires_after(milliseconds(100));
         send_timer.async_wait(
             [&](boost::system::error_code cancelled)
@@ -388,23 +388,23 @@
     asio::io_context loop;
     std::string address = loopback(free_port());
     std::size_t taken = 0;
-    web_bounds bounds;
+    web_limits bounds;
     std::unique_ptr<web_listener> listener;
 
     void open()
     {
         listener = std::make_unique<web_listener>(
             loop, bounds,
-            [this](web_request request, const std::function<void(web_answer)>& answer)
+            [this](web_request request, const std::function<void(web_response)>& answer)
             {
                 ++taken;
-                answer(web_answer{200, request.body + std::string(request.header("x-test")), {}, {}});
+                answer(web_response{200, request.body + std::string(request.header("x-test")), {}, {}});
             });
         BOOST_REQUIRE_EQUAL(listener->open(address), "");
     }
-    std::optional<web_answer> post(web_channel& channel, std::string body)
+    std::optional<web_response> post(web_channel& channel, std::string body)
     {
-        std::optional<web_answer> out;
+        std::optional<web_response> out;
         web_request request;
         request.method = "POST";
         request.target = "/x";
@@ -436,7 +436,7 @@
     BOOST_TEST(listener->connections() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_body_over_the_bound_is_refused_and_not_handled, web_fixture)
+BOOST_FIXTURE_TEST_CASE(an_oversized_body_is_rejected_without_handling, web_fixture)
 {
     bounds.body_bytes = 100;
     open();
@@ -445,22 +445,22 @@
     BOOST_TEST((!answer || answer->status == 413U));
 }
 
-BOOST_FIXTURE_TEST_CASE(a_connection_closed_while_idle_is_opened_again, web_fixture)
+BOOST_FIXTURE_TEST_CASE(a_connection_closed_while_idle_is_reopened, web_fixture)
 {
     open();
     const auto channel = web_channel::make(loop, address);
     BOOST_REQUIRE(post(*channel, "a").has_value());
-    listener->wind_down(); // the next response closes the connection
+    listener->drain_connections(); // the next response closes the connection
     BOOST_REQUIRE(post(*channel, "b").has_value());
     BOOST_REQUIRE(post(*channel, "c").has_value());
     BOOST_TEST(taken == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(nobody_listening_gives_no_answer)
+BOOST_AUTO_TEST_CASE(a_refused_connection_is_unreachable)
 {
     asio::io_context loop;
     bool called = false;
-    web_result out = web_answer{};
+    web_result out = web_response{};
     const auto channel = web_channel::make(loop, loopback(free_port()));
     channel->send({}, milliseconds(2000),
                   [&](web_result outcome)
--- a/tests/src/unit-platform.cpp
+++ b/tests/src/unit-platform.cpp
@@ -46,7 +46,7 @@
     BOOST_TEST(out.faults.empty());
     BOOST_TEST(out.settings.fabric.peer_address == "10.1.0.16:7720");
     BOOST_TEST(out.settings.fabric.seeds.back() == "10.2.0.33:7720");
-    BOOST_TEST(out.settings.fabric.losses_borne == 2U);
+    BOOST_TEST(out.settings.fabric.max_disk_losses == 2U);
     BOOST_TEST(out.settings.fabric.max_lease.count() == 10000);
     BOOST_TEST(out.settings.operator_address == "10.1.0.16:8166");
     BOOST_TEST(out.settings.caller_address.empty());
--- a/tests/src/unit-recipients.cpp
+++ b/tests/src/unit-recipients.cpp
@@ -38,11 +38,11 @@
         listener.reset();
         process = std::make_unique<asio::io_context>();
         listener = std::make_unique<web_listener>(
-            *process, web_bounds{},
-            [this, name](const web_request& request, const std::function<void(web_answer)>& answer)
+            *process, web_limits{},
+            [this, name](const web_request& request, const std::function<void(web_response)>& answer)
             {
                 received.push_back(name + ' ' + request.body);
-                answer(web_answer{200, name, {}, {}, false});
+                answer(web_response{200, name, {}, {}, false});
             });
         BOOST_REQUIRE_EQUAL(listener->open(address), "");
     }
@@ -53,7 +53,7 @@
         request.target = "/x";
         request.body = "confirm";
         request.recipient = web_recipient{recipient_name, "who",
-                                          [recipient_name](const web_answer& answer)
+                                          [recipient_name](const web_response& answer)
                                           {
                                               return answer.body == recipient_name;
                                           }};
@@ -77,7 +77,7 @@
 using bodies = std::vector<std::string>;
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(a_new_connection_asks_first_and_once, fixture)
+BOOST_FIXTURE_TEST_CASE(a_new_connection_is_probed_once, fixture)
 {
     run_process("p1");
     BOOST_TEST(send_to("p1") == "p1");
@@ -85,7 +85,7 @@
     BOOST_TEST((received == bodies{"p1 who", "p1 confirm", "p1 confirm"}));
 }
 
-BOOST_FIXTURE_TEST_CASE(nothing_but_the_question_reaches_another_process, fixture)
+BOOST_FIXTURE_TEST_CASE(only_the_probe_reaches_another_process, fixture)
 {
     run_process("p1");
     BOOST_TEST(send_to("p1") == "p1");
