--- a/include/walkthread/node/clock.hpp
+++ b/include/walkthread/node/clock.hpp
@@ -29,7 +29,7 @@
 }
 
 /// @brief Total time that this machine has been suspended since boot. Complexity: constant.
-[[nodiscard]] inline duration suspended_so_far()
+[[nodiscard]] inline duration total_suspended_time()
 {
     const duration running = detail::read_clock(CLOCK_MONOTONIC);
     return detail::read_clock(CLOCK_BOOTTIME) - running;
--- a/include/walkthread/node/core.hpp
+++ b/include/walkthread/node/core.hpp
@@ -32,7 +32,7 @@
 
 /// @brief Callbacks of a group at this process, besides replication. All run on the core thread.
 /// @since 0.1
-struct group_duties
+struct group_callbacks
 {
     /// Handles a call to the group; called only while this process leads it and holds the lease.
     std::function<void(const call_body&, reply_handler)> handle;
@@ -56,7 +56,7 @@
     process_core& operator=(const process_core&) = delete;
 
     /// @brief Adds a group of which this process is a replica. Only before `start`.
-    replicated_group& add_group(group_id id, state_machine_hooks hooks, group_duties callbacks);
+    replicated_group& add_group(group_id id, state_machine_hooks hooks, group_callbacks callbacks);
     /// @brief Adds a function that is called every tick. Only before `start`.
     void add_ticker(std::function<void(monotonic_time, wall_ms)> ticker);
     /// @brief Starts the network and the core thread. @return whether the peer address could be bound
@@ -77,12 +77,13 @@
     /// @brief Calls a group's leader and waits for the reply. Not from the core thread.
     [[nodiscard]] reply_body call_and_wait(group_id group, call_body body, milliseconds timeout);
     /// @brief Calls a given process and waits for the reply. Not from the core thread.
-    [[nodiscard]] reply_body ask_node(node_id node, group_id group, call_body body, milliseconds timeout);
+    [[nodiscard]] reply_body call_node_and_wait(node_id node, group_id group, call_body body,
+                                                milliseconds timeout);
     /// @brief Notifies all peers that the state of a group changed. Notifications between two flushes are
     /// merged into one.
     void notify_peers(group_id group);
     /// @brief Sets the handler for change notices of peers. Only before `start`.
-    void on_news(std::function<void(group_id)> handler);
+    void on_change_notice(std::function<void(group_id)> handler);
     /// @brief Sets the handler for calls that need no leader, such as timeline calls. Only before `start`.
     void on_local_call(std::function<reply_body(const call_body&)> handler);
 
@@ -116,7 +117,7 @@
     struct owned_group
     {
         std::unique_ptr<replicated_group> group;
-        group_duties callbacks;
+        group_callbacks callbacks;
         bool led = false;
     };
     struct pending_call
@@ -141,14 +142,14 @@
     void handle_frame(node_id from, const replica_frame& frame);
     void handle_frame(node_id from, const call_frame& frame);
     void handle_frame(const reply_frame& frame);
-    [[nodiscard]] static std::uint64_t first_call_number();
+    [[nodiscard]] static std::uint64_t random_call_id();
     void begin_call(pending_call call);
     void send_call(std::uint64_t id, pending_call& call);
     void finish_call(std::uint64_t id, reply_body reply);
     void retry_calls(monotonic_time now);
-    void handle_here(group_id group, const call_body& body, const reply_handler& handler);
+    void handle_locally(group_id group, const call_body& body, const reply_handler& handler);
     void change_members(group_id group, const members_call& change, const reply_handler& handler);
-    [[nodiscard]] bool has_moved(const pending_call& call) const;
+    [[nodiscard]] bool leader_has_changed(const pending_call& call) const;
     [[nodiscard]] node_id target_of(const pending_call& call) const;
     void update_leadership(owned_group& owned);
     void fail(const storage_error& error);
@@ -162,12 +163,12 @@
 
     std::map<group_id, owned_group> m_groups;
     std::vector<std::function<void(monotonic_time, wall_ms)>> m_tickers;
-    std::function<void(group_id)> m_on_news;
+    std::function<void(group_id)> m_on_change_notice;
     std::function<reply_body(const call_body&)> m_on_local_call;
     std::map<std::uint64_t, pending_call> m_calls;
     std::map<group_id, node_id> m_leader_hints;
-    std::vector<group_id> m_announce;
-    std::uint64_t m_next_call_id = first_call_number();
+    std::vector<group_id> m_groups_to_notify;
+    std::uint64_t m_next_call_id = random_call_id();
 
     std::thread m_thread;
     std::mutex m_mutex;
--- a/include/walkthread/node/hall_service.hpp
+++ b/include/walkthread/node/hall_service.hpp
@@ -36,7 +36,7 @@
         return m_state;
     }
     /// @brief Applies the platform's list of live and leaving hosts. The list is a hint and may lag.
-    void take_platform_list(const std::set<worker_id>& live, const std::set<worker_id>& leaving);
+    void apply_platform_list(const std::set<worker_id>& live, const std::set<worker_id>& leaving);
 
   private:
     /// State of a leader that is not replicated. Discarded when leadership ends.
@@ -64,7 +64,7 @@
         std::set<worker_id> platform_drained;
     };
     /// A renewal (long poll) that is answered when there are orders, or at `until`.
-    struct parked_renewal
+    struct deferred_renewal
     {
         reply_handler handler;
         monotonic_time until{};
@@ -80,8 +80,8 @@
     void stop_leading();
     void propose(const hall_command& command, std::function<void(bool, const hall_result&)> handler);
     void expire_leases(monotonic_time now);
-    void remember_placed(const place_tasks& command);
-    [[nodiscard]] std::vector<run_id> withdraw_untold(worker_id worker);
+    void record_placed(const place_tasks& command);
+    [[nodiscard]] std::vector<run_id> withdraw_unsent(worker_id worker);
     void end_withdrawal(const std::vector<run_id>& runs);
     void probe_quarantined(wall_ms wall);
     void schedule_waiting_tasks(wall_ms wall);
@@ -105,15 +105,15 @@
     void add_order(const task_id& id, bool known_to_worker, monotonic_time now, renew_reply& reply);
     [[nodiscard]] std::optional<halt_order> halt_for(const task_id& id, const hall_job& job,
                                                      monotonic_time now);
-    void answer_parked(worker_id worker, monotonic_time now);
-    void answer_due(monotonic_time now);
+    void answer_deferred(worker_id worker, monotonic_time now);
+    void answer_due_renewals(monotonic_time now);
     void flush_reports();
     [[nodiscard]] static bool has_orders(const renew_reply& reply);
 
     // hall_events.cpp
-    void note_events(wall_ms at, const hall_command& command);
-    void note_placed(const place_tasks& command);
-    void note_reports(wall_ms at, const report_runs& command);
+    void record_events(wall_ms at, const hall_command& command);
+    void record_placements(const place_tasks& command);
+    void record_reports(wall_ms at, const report_runs& command);
     void add_event(event_kind kind, const hall_job* job, worker_id worker, std::string text);
 
     process_core& m_core;
@@ -123,8 +123,8 @@
     hall_state m_state;
     replicated_group* m_group = nullptr;
     std::unique_ptr<leader_state> m_leader_state;
-    std::map<worker_id, parked_renewal> m_parked;
-    std::uint64_t m_seen_services = 0;
+    std::map<worker_id, deferred_renewal> m_deferred_renewals;
+    std::uint64_t m_notified_services = 0;
 };
 
 } // namespace walkthread
--- a/include/walkthread/node/http_host.hpp
+++ b/include/walkthread/node/http_host.hpp
@@ -44,7 +44,7 @@
 
 /// @brief Resource limits of one HTTP server.
 /// @since 0.1
-struct http_bounds
+struct http_limits
 {
     std::size_t threads = 64;
     std::size_t queue = 128;
@@ -59,15 +59,15 @@
 /// queue is full, they get 503 with Retry-After at once. If the queue of connections to reject is full too,
 /// the server stops accepting until one of them has been answered.
 /// @since 0.1
-class http_host
+class http_server
 {
   public:
     /// @param certificate path of a PEM file; empty for plain HTTP
-    http_host(socket_address address, const http_bounds& limits, const std::string& certificate,
-              const std::string& key);
-    ~http_host();
-    http_host(const http_host&) = delete;
-    http_host& operator=(const http_host&) = delete;
+    http_server(socket_address address, const http_limits& limits, const std::string& certificate,
+                const std::string& key);
+    ~http_server();
+    http_server(const http_server&) = delete;
+    http_server& operator=(const http_server&) = delete;
 
     /// @brief Adds a route. @param pattern a regular expression that matches the whole path
     void get(const std::string& pattern, http_handler handler);
--- a/include/walkthread/node/messages.hpp
+++ b/include/walkthread/node/messages.hpp
@@ -61,7 +61,7 @@
 };
 
 /// @brief Requests root log entries after a given position from the root leader.
-struct root_view_call
+struct root_update_call
 {
     log_index known{};
     MSGPACK_DEFINE(known)
@@ -125,7 +125,7 @@
     MSGPACK_DEFINE(add, remove)
 };
 
-using call_body = std::variant<root_call, hall_call, renew_call, root_view_call, endpoints_call,
+using call_body = std::variant<root_call, hall_call, renew_call, root_update_call, endpoints_call,
                                hall_summary_call, timeline_call, query_call, members_call>;
 
 // ---------------------------------------------------------------------------------------------------------
@@ -133,7 +133,7 @@
 // ---------------------------------------------------------------------------------------------------------
 
 /// @brief The call failed or has to go to another process.
-struct not_here_reply
+struct call_error_reply
 {
     node_id leader{}; ///< 0 if unknown
     int code{};       ///< a node_code
@@ -190,7 +190,7 @@
 };
 
 /// @brief Reply to the request for root log entries. Its content was current when the call was sent or later.
-struct root_view_reply
+struct root_update_reply
 {
     log_index commit{};
     bool has_snapshot{};
@@ -230,7 +230,7 @@
     MSGPACK_DEFINE(changed)
 };
 
-using reply_body = std::variant<not_here_reply, root_reply, hall_reply, renew_reply, root_view_reply,
+using reply_body = std::variant<call_error_reply, root_reply, hall_reply, renew_reply, root_update_reply,
                                 endpoints_reply, timeline_reply, document_reply, done_reply>;
 
 // ---------------------------------------------------------------------------------------------------------
@@ -275,13 +275,13 @@
 
 /// @brief Notice that the state of root or of a hall changed, so that receivers request changes before
 /// their next regular poll.
-struct news_frame
+struct change_notice
 {
     group_id group{};
     MSGPACK_DEFINE(group)
 };
 
-using peer_message = std::variant<hello, replica_frame, call_frame, reply_frame, news_frame>;
+using peer_message = std::variant<hello, replica_frame, call_frame, reply_frame, change_notice>;
 
 /// @brief Content of a frame: a hybrid time stamp that orders events across processes, and a message.
 struct peer_envelope
--- a/include/walkthread/node/operator_api.hpp
+++ b/include/walkthread/node/operator_api.hpp
@@ -26,9 +26,9 @@
     operator_api(process_core& core, root_service& root, const std::atomic<bool>& healthy);
 
     /// @brief Adds all routes to an HTTP server.
-    void add_routes(http_host& server);
+    void add_routes(http_server& server);
     /// @brief Adds only /healthz, for the load balancer in front of the gateways.
-    void add_health(http_host& server);
+    void add_health(http_server& server);
 
   private:
     using organisation_handler =
@@ -36,10 +36,10 @@
     using plain_handler = std::function<http_response(const http_request&)>;
 
     [[nodiscard]] http_handler require_operator(organisation_handler handler);
-    [[nodiscard]] http_handler for_admins(plain_handler handler);
-    void add_configuration_routes(http_host& server);
-    void add_admin_routes(http_host& server);
-    void add_state_routes(http_host& server);
+    [[nodiscard]] http_handler require_admin(plain_handler handler);
+    void add_configuration_routes(http_server& server);
+    void add_admin_routes(http_server& server);
+    void add_state_routes(http_server& server);
 
     http_response put_template_of(const organisation_settings& organisation, const http_request& request);
     http_response put_team_of(const organisation_settings& organisation, const http_request& request);
--- a/include/walkthread/node/platform_watch.hpp
+++ b/include/walkthread/node/platform_watch.hpp
@@ -33,7 +33,7 @@
 
   private:
     void loop();
-    void ask_once();
+    void poll_once();
 
     socket_address m_platform;
     list_handler m_handler;
--- a/include/walkthread/node/process.hpp
+++ b/include/walkthread/node/process.hpp
@@ -47,8 +47,8 @@
 
   private:
     void make_listeners();
-    [[nodiscard]] std::unique_ptr<http_host> make_host(const socket_address& address,
-                                                       std::size_t threads) const;
+    [[nodiscard]] std::unique_ptr<http_server> make_server(const socket_address& address,
+                                                           std::size_t threads) const;
 
     const settings& m_settings;
     std::unique_ptr<data_folder> m_folder;
@@ -65,8 +65,8 @@
     worker_api m_workers;
     access_check m_access;
     std::unique_ptr<platform_watch> m_platform;
-    std::vector<std::unique_ptr<http_host>> m_caller_hosts;
-    std::vector<std::unique_ptr<http_host>> m_servers;
+    std::vector<std::unique_ptr<http_server>> m_caller_servers;
+    std::vector<std::unique_ptr<http_server>> m_servers;
     bool m_started = false;
 };
 
--- a/include/walkthread/node/request_router.hpp
+++ b/include/walkthread/node/request_router.hpp
@@ -74,8 +74,8 @@
     http_response unknown(const routed_request& request, const std::string& detail);
     http_response response_for(const routed_request& request, const routing_result& end);
     http_response not_run(const routed_request& request, routing_code code, const std::string& detail);
-    http_response kept_answer(const claim_result& kept);
-    http_response refused_claim(const routed_request& request, const claim_result& refused);
+    http_response replayed_response(const claim_result& kept);
+    http_response claim_error_response(const routed_request& request, const claim_result& refused);
     void record_event(event_kind kind, const routed_request& request, std::string text);
     [[nodiscard]] attempt_id next_attempt();
     [[nodiscard]] organisation_limits& limits_of(const organisation_settings& organisation);
--- a/include/walkthread/node/root_service.hpp
+++ b/include/walkthread/node/root_service.hpp
@@ -46,7 +46,7 @@
   private:
     void handle(const call_body& body, const reply_handler& handler);
     void handle_command(const root_call& call, const reply_handler& handler);
-    void handle_view(const root_view_call& call, const reply_handler& handler);
+    void handle_update_call(const root_update_call& call, const reply_handler& handler);
     void handle_summary(const hall_summary_call& call);
     void propose(const root_command& command, const reply_handler& handler);
     [[nodiscard]] result<done, state_error> choose_parts(root_command& command);
@@ -56,7 +56,7 @@
                                                          const parameters& given_values, std::uint8_t given);
     std::string apply(wall_ms at, const std::string& command);
     void record_event(const root_command& command, const root_result& answer);
-    void take_view(monotonic_time sent_at, const root_view_reply& reply);
+    void apply_update_reply(monotonic_time sent_at, const root_update_reply& reply);
     void confirm_if_applied();
     void tick(monotonic_time now);
     void changed();
@@ -69,8 +69,8 @@
     std::vector<std::function<void()>> m_on_change;
     std::map<hall_id, hall_load> m_halls; ///< maintained at the leader
     monotonic_time m_confirmed_at{};
-    monotonic_time m_next_view{};
-    monotonic_time m_pending_asked{};
+    monotonic_time m_next_update{};
+    monotonic_time m_pending_sent_at{};
     log_index m_pending_commit{};
     bool m_update_in_flight = false;
     bool m_refresh_again = false;
--- a/include/walkthread/node/worker_api.hpp
+++ b/include/walkthread/node/worker_api.hpp
@@ -18,7 +18,7 @@
   public:
     explicit worker_api(process_core& core);
     /// @brief Adds all routes to an HTTP server.
-    void add_routes(http_host& server);
+    void add_routes(http_server& server);
 
   private:
     http_response renew(const http_request& request);
--- a/src/fabric/fabric_node.cpp
+++ b/src/fabric/fabric_node.cpp
@@ -31,7 +31,7 @@
                {
                    return handle_locally(body, handler);
                }),
-      m_watch(m_settings.seeds, leader_watch_settings{}), m_timer(loop), m_suspended(suspended_so_far())
+      m_watch(m_settings.seeds, leader_watch_settings{}), m_timer(loop), m_suspended(total_suspended_time())
 {
 }
 
@@ -99,7 +99,7 @@
 // Logs a suspension of the machine, which explains why a healthy process lost its leases and timed out calls.
 void fabric_node::log_suspension()
 {
-    const duration so_far = suspended_so_far();
+    const duration so_far = total_suspended_time();
     if (so_far - m_suspended > min_logged_suspension)
     {
         log_event("machine_suspended", {}, {{"for_ms", so_far - m_suspended}});
--- a/src/node/core.cpp
+++ b/src/node/core.cpp
@@ -12,8 +12,8 @@
 namespace
 {
 constexpr int max_flush_rounds = 8;
-constexpr milliseconds hand_over_time{1500};
-constexpr milliseconds hand_over_step{20};
+constexpr milliseconds leadership_transfer_timeout{1500};
+constexpr milliseconds leadership_transfer_poll_interval{20};
 } // namespace
 
 process_core::process_core(const settings& config, data_folder* folder, timeline& events, metrics& counters)
@@ -32,7 +32,7 @@
     stop();
 }
 
-replicated_group& process_core::add_group(group_id id, state_machine_hooks hooks, group_duties callbacks)
+replicated_group& process_core::add_group(group_id id, state_machine_hooks hooks, group_callbacks callbacks)
 {
     replica_settings timing;
     timing.heartbeat = m_settings.timing.heartbeat;
@@ -59,9 +59,9 @@
     m_tickers.push_back(std::move(ticker));
 }
 
-void process_core::on_news(std::function<void(group_id)> handler)
+void process_core::on_change_notice(std::function<void(group_id)> handler)
 {
-    m_on_news = std::move(handler);
+    m_on_change_notice = std::move(handler);
 }
 
 void process_core::on_local_call(std::function<reply_body(const call_body&)> handler)
@@ -97,7 +97,7 @@
                                return item.second.group->core().role() == replica_role::leader;
                            });
     };
-    const monotonic_time transfer_deadline = monotonic_now() + hand_over_time;
+    const monotonic_time transfer_deadline = monotonic_now() + leadership_transfer_timeout;
     bool led = true;
     while (led && !m_failed && monotonic_now() < transfer_deadline)
     {
@@ -111,7 +111,7 @@
                 }
                 return leads_any();
             });
-        std::this_thread::sleep_for(hand_over_step);
+        std::this_thread::sleep_for(leadership_transfer_poll_interval);
     }
     m_stopping = true;
     m_wake.notify_all();
@@ -202,13 +202,13 @@
     {
     }
     store_snapshots();
-    for (const group_id group : std::exchange(m_announce, {}))
+    for (const group_id group : std::exchange(m_groups_to_notify, {}))
     {
         for (const peer_settings& peer : m_settings.peers)
         {
-            m_network.send(peer.node, news_frame{group});
+            m_network.send(peer.node, change_notice{group});
         }
-        m_on_news(group);
+        m_on_change_notice(group);
     }
 }
 
@@ -306,9 +306,9 @@
 
 void process_core::notify_peers(group_id group)
 {
-    if (std::find(m_announce.begin(), m_announce.end(), group) == m_announce.end())
+    if (std::find(m_groups_to_notify.begin(), m_groups_to_notify.end(), group) == m_groups_to_notify.end())
     {
-        m_announce.push_back(group);
+        m_groups_to_notify.push_back(group);
     }
 }
 
@@ -333,9 +333,9 @@
             {
                 handle_frame(*reply);
             }
-            else if (const auto* notice = std::get_if<news_frame>(&message))
+            else if (const auto* notice = std::get_if<change_notice>(&message))
             {
-                m_on_news(notice->group);
+                m_on_change_notice(notice->group);
             }
         });
 }
@@ -361,13 +361,13 @@
     };
     if (!ok(body))
     {
-        answer(not_here_reply{{}, error_of(body).number(), error_of(body).detail});
+        answer(call_error_reply{{}, error_of(body).number(), error_of(body).detail});
         return;
     }
-    handle_here(frame.group, value_of(body), answer);
+    handle_locally(frame.group, value_of(body), answer);
 }
 
-void process_core::handle_here(group_id group, const call_body& body, const reply_handler& handler)
+void process_core::handle_locally(group_id group, const call_body& body, const reply_handler& handler)
 {
     if (std::holds_alternative<timeline_call>(body))
     {
@@ -386,8 +386,8 @@
     {
         const node_id leader =
             found == m_groups.end() ? node_id{} : found->second.group->core().leader().node;
-        handler(not_here_reply{leader, static_cast<int>(node_code::not_leader),
-                               "This process is not the leader of the group."});
+        handler(call_error_reply{leader, static_cast<int>(node_code::not_leader),
+                                 "This process is not the leader of the group."});
         return;
     }
     if (const auto* change = std::get_if<members_call>(&body))
@@ -417,6 +417,7 @@
         handler(done_reply{!known});
         return;
     }
-    handler(not_here_reply{{}, static_cast<int>(node_code::change_pending), error_of(change_result).detail});
+    handler(
+        call_error_reply{{}, static_cast<int>(node_code::change_pending), error_of(change_result).detail});
 }
 } // namespace walkthread
--- a/src/node/core_calls.cpp
+++ b/src/node/core_calls.cpp
@@ -13,15 +13,15 @@
 namespace
 {
 constexpr milliseconds redirect_retry_delay{100};
-constexpr milliseconds silent_leader{1000};
-constexpr unsigned half_of_a_number = 32;
+constexpr milliseconds leader_reply_timeout{1000};
+constexpr unsigned half_id_bits = 32;
 } // namespace
 
 // Replies to calls of a former incarnation may still arrive, so call ids start at a random number.
-std::uint64_t process_core::first_call_number()
+std::uint64_t process_core::random_call_id()
 {
     std::random_device source;
-    return (std::uint64_t{source()} << half_of_a_number) | source();
+    return (std::uint64_t{source()} << half_id_bits) | source();
 }
 
 void process_core::call(group_id group, call_body body, milliseconds timeout, reply_handler handler)
@@ -93,7 +93,8 @@
     return slot->wait();
 }
 
-reply_body process_core::ask_node(node_id node, group_id group, call_body body, milliseconds timeout)
+reply_body process_core::call_node_and_wait(node_id node, group_id group, call_body body,
+                                            milliseconds timeout)
 {
     auto slot = std::make_shared<reply_slot>();
     call_node(node, group, std::move(body), timeout,
@@ -144,17 +145,17 @@
     {
         call.retry_at = call.deadline;
         const call_body body = call.body;
-        handle_here(call.group, body,
-                    [this, id](reply_body reply)
-                    {
-                        finish_call(id, std::move(reply));
-                    });
+        handle_locally(call.group, body,
+                       [this, id](reply_body reply)
+                       {
+                           finish_call(id, std::move(reply));
+                       });
         return;
     }
     // Commands carry a request or attempt id and may be sent twice. A renewal is not resent while the leader
     // may be holding it until there are orders.
     const bool may_repeat = !std::holds_alternative<renew_call>(call.body);
-    call.retry_at = may_repeat ? now + silent_leader : call.deadline;
+    call.retry_at = may_repeat ? now + leader_reply_timeout : call.deadline;
     m_network.send(target, call_frame{id, call.group, encode(call.body)});
 }
 
@@ -163,7 +164,7 @@
     auto reply = decode<reply_body>(frame.body);
     if (!ok(reply))
     {
-        finish_call(frame.id, not_here_reply{{}, error_of(reply).number(), error_of(reply).detail});
+        finish_call(frame.id, call_error_reply{{}, error_of(reply).number(), error_of(reply).detail});
         return;
     }
     finish_call(frame.id, std::move(value_of(reply)));
@@ -177,7 +178,7 @@
         return;
     }
     pending_call& call = found->second;
-    const auto* call_error = std::get_if<not_here_reply>(&reply);
+    const auto* call_error = std::get_if<call_error_reply>(&reply);
     const bool not_leader =
         call_error != nullptr && call_error->code == static_cast<int>(node_code::not_leader);
     if (not_leader && !call.target_node && monotonic_now() < call.deadline)
@@ -194,7 +195,7 @@
 // Whether a call was sent to a process that is no longer the leader. Every call may be resent to the new
 // leader: commands carry ids, and a lease that the old leader still grants expires before the new leader
 // declares the worker lost.
-bool process_core::has_moved(const pending_call& call) const
+bool process_core::leader_has_changed(const pending_call& call) const
 {
     const auto own = m_groups.find(call.group);
     if (call.target_node || !call.waiting || own == m_groups.end())
@@ -215,7 +216,7 @@
         {
             expired_calls.push_back(id);
         }
-        else if (now >= call.retry_at || has_moved(call))
+        else if (now >= call.retry_at || leader_has_changed(call))
         {
             calls_to_resend.push_back(id);
         }
@@ -225,7 +226,7 @@
         auto node = m_calls.extract(id);
         const bool reply_pending = node.mapped().waiting;
         const node_code code = reply_pending ? node_code::timed_out : node_code::no_leader;
-        node.mapped().handler(not_here_reply{{}, static_cast<int>(code), "No reply before the timeout."});
+        node.mapped().handler(call_error_reply{{}, static_cast<int>(code), "No reply before the timeout."});
     }
     for (const std::uint64_t id : calls_to_resend)
     {
--- a/src/node/documents.cpp
+++ b/src/node/documents.cpp
@@ -157,7 +157,7 @@
             {"outcome", to_string(static_cast<job_outcome>(job.outcome))}};
 }
 
-bool shown_to(const hall_job& job, organisation_id organisation)
+bool visible_to(const hall_job& job, organisation_id organisation)
 {
     return organisation.value() == 0 || job.spec.organisation == organisation;
 }
@@ -190,7 +190,7 @@
     case query_kind::jobs:
         for (const auto& [id, job] : state.jobs())
         {
-            if (shown_to(job, query.organisation))
+            if (visible_to(job, query.organisation))
             {
                 out.push_back(summary_of(job));
             }
@@ -200,7 +200,7 @@
     {
         const auto found = state.jobs().find(query.job);
         out = json::object();
-        if (found != state.jobs().end() && shown_to(found->second, query.organisation))
+        if (found != state.jobs().end() && visible_to(found->second, query.organisation))
         {
             out = explain(found->second, state, reason);
         }
--- a/src/node/documents_parse.cpp
+++ b/src/node/documents_parse.cpp
@@ -21,7 +21,7 @@
 constexpr std::int64_t max_run_seconds = 31LL * 24 * 3600;
 constexpr std::size_t max_name_bytes = 64;
 constexpr std::size_t max_request_id_bytes = 128;
-constexpr std::size_t max_jobs_in_one_call = 20'000;
+constexpr std::size_t max_jobs_per_cancellation = 20'000;
 constexpr std::size_t max_runs = 1024;
 
 /// Reads fields of a JSON object and records the first error.
@@ -251,7 +251,7 @@
     }
 }
 
-constexpr const char* no_json = "The body is not valid JSON.";
+constexpr const char* not_json = "The body is not valid JSON.";
 } // namespace
 
 result<put_template, std::string> parse_template(const settings& config, std::string_view text)
@@ -259,7 +259,7 @@
     const json body = parse_text(text);
     if (body.is_discarded())
     {
-        return std::string(no_json);
+        return std::string(not_json);
     }
     object_reader reader(body);
     reader.check_keys({"request_id", "kind", "repeatable", "defaults", "limits"});
@@ -298,7 +298,7 @@
     const json body = parse_text(text);
     if (body.is_discarded())
     {
-        return std::string(no_json);
+        return std::string(not_json);
     }
     object_reader reader(body);
     reader.check_keys({"request_id", "expected_version", "template", "team", "parameters"});
@@ -324,7 +324,7 @@
     const json body = parse_text(text);
     if (body.is_discarded())
     {
-        return std::string(no_json);
+        return std::string(not_json);
     }
     object_reader reader(body);
     reader.check_keys({"request_id", "cpu_millicores", "memory_mib", "accelerators"});
@@ -346,7 +346,7 @@
     const json body = parse_text(text);
     if (body.is_discarded())
     {
-        return std::string(no_json);
+        return std::string(not_json);
     }
     object_reader reader(body);
     reader.check_keys({"request_id", "jobs"});
@@ -357,7 +357,7 @@
     {
         return j.is_number_unsigned();
     };
-    if (!jobs.is_array() || jobs.size() > max_jobs_in_one_call ||
+    if (!jobs.is_array() || jobs.size() > max_jobs_per_cancellation ||
         !std::all_of(jobs.begin(), jobs.end(), is_job_number))
     {
         reader.fail("jobs", "must be a list of at most 20000 job numbers");
@@ -378,7 +378,7 @@
     const json body = parse_text(text);
     if (body.is_discarded())
     {
-        return std::string(no_json);
+        return std::string(not_json);
     }
     object_reader reader(body);
     reader.check_keys(
--- a/src/node/hall_events.cpp
+++ b/src/node/hall_events.cpp
@@ -43,15 +43,15 @@
     m_core.events().add(std::move(event), wall_now());
 }
 
-void hall_service::note_events(wall_ms at, const hall_command& command)
+void hall_service::record_events(wall_ms at, const hall_command& command)
 {
     if (const auto* placed = std::get_if<place_tasks>(&command))
     {
-        note_placed(*placed);
+        record_placements(*placed);
     }
     else if (const auto* reports = std::get_if<report_runs>(&command))
     {
-        note_reports(at, *reports);
+        record_reports(at, *reports);
     }
     else if (const auto* lost = std::get_if<mark_workers_lost>(&command))
     {
@@ -95,7 +95,7 @@
     }
 }
 
-void hall_service::note_placed(const place_tasks& command)
+void hall_service::record_placements(const place_tasks& command)
 {
     for (const placement& p : command.placements)
     {
@@ -107,7 +107,7 @@
     }
 }
 
-void hall_service::note_reports(wall_ms at, const report_runs& command)
+void hall_service::record_reports(wall_ms at, const report_runs& command)
 {
     for (const run_report& report : command.reports)
     {
--- a/src/node/hall_renewals.cpp
+++ b/src/node/hall_renewals.cpp
@@ -11,7 +11,7 @@
 
 namespace
 {
-constexpr std::size_t reports_per_entry = 512;
+constexpr std::size_t max_reports_per_entry = 512;
 
 bool ends_run(std::uint8_t event)
 {
@@ -27,7 +27,7 @@
     if (!m_leader_state->leases.may_grant(call.worker))
     {
         handler(
-            not_here_reply{{}, static_cast<int>(node_code::overloaded), "The worker's lease has expired."});
+            call_error_reply{{}, static_cast<int>(node_code::overloaded), "The worker's lease has expired."});
         return;
     }
     if (call.epoch.value() == 0)
@@ -53,20 +53,20 @@
         handler(std::move(orders));
         return;
     }
-    const auto deferred = m_parked.find(call.worker);
-    if (deferred != m_parked.end())
+    const auto deferred = m_deferred_renewals.find(call.worker);
+    if (deferred != m_deferred_renewals.end())
     {
         deferred->second.handler(renew_reply{false, call.epoch, 0, {}, {}, {}, {}});
     }
-    m_parked[call.worker] = parked_renewal{handler, now + milliseconds(call.wait_ms), call.runs};
+    m_deferred_renewals[call.worker] = deferred_renewal{handler, now + milliseconds(call.wait_ms), call.runs};
 }
 
 void hall_service::register_new(const renew_call& call, const reply_handler& handler)
 {
-    m_parked.erase(call.worker);
+    m_deferred_renewals.erase(call.worker);
     const std::int64_t lease = m_core.config().timing.worker_lease.count();
     register_worker command = call.registration;
-    command.unsent = withdraw_untold(call.worker);
+    command.unsent = withdraw_unsent(call.worker);
     propose(command,
             [this, handler, lease, command](bool committed, const hall_result& answer)
             {
@@ -74,13 +74,13 @@
                 const monotonic_time now = monotonic_now();
                 if (!committed || !m_leader_state || !m_core.leads(group_of(m_hall), now))
                 {
-                    handler(not_here_reply{
+                    handler(call_error_reply{
                         {}, static_cast<int>(node_code::not_leader), "The hall's leader has changed."});
                     return;
                 }
                 if (answer.code != 0)
                 {
-                    handler(not_here_reply{
+                    handler(call_error_reply{
                         {}, answer.code, "Another epoch of this worker may still hold a lease."});
                     return;
                 }
@@ -153,7 +153,7 @@
 {
     while (!m_leader_state->reports.empty())
     {
-        const std::size_t count = std::min(m_leader_state->reports.size(), reports_per_entry);
+        const std::size_t count = std::min(m_leader_state->reports.size(), max_reports_per_entry);
         const auto last = m_leader_state->reports.begin() + static_cast<std::ptrdiff_t>(count);
         report_runs entry{{m_leader_state->reports.begin(), last}};
         m_leader_state->reports.erase(m_leader_state->reports.begin(), last);
@@ -285,10 +285,10 @@
     return halt_order{run, false};
 }
 
-void hall_service::answer_parked(worker_id worker, monotonic_time now)
+void hall_service::answer_deferred(worker_id worker, monotonic_time now)
 {
-    const auto deferred = m_parked.find(worker);
-    if (deferred == m_parked.end())
+    const auto deferred = m_deferred_renewals.find(worker);
+    if (deferred == m_deferred_renewals.end())
     {
         return;
     }
@@ -301,14 +301,14 @@
         return;
     }
     m_leader_state->leases.granted(worker, now);
-    auto node = m_parked.extract(deferred);
+    auto node = m_deferred_renewals.extract(deferred);
     node.mapped().handler(std::move(orders));
 }
 
-void hall_service::answer_due(monotonic_time now)
+void hall_service::answer_due_renewals(monotonic_time now)
 {
     std::vector<worker_id> due;
-    for (const auto& [worker, deferred] : m_parked)
+    for (const auto& [worker, deferred] : m_deferred_renewals)
     {
         if (now >= deferred.until)
         {
@@ -317,7 +317,7 @@
     }
     for (const worker_id worker : due)
     {
-        answer_parked(worker, now);
+        answer_deferred(worker, now);
     }
     std::erase_if(m_leader_state->stop_first_seen,
                   [this](const auto& item)
--- a/src/node/hall_root.cpp
+++ b/src/node/hall_root.cpp
@@ -11,7 +11,7 @@
 
 namespace
 {
-constexpr std::size_t jobs_per_entry = 256;
+constexpr std::size_t max_jobs_per_entry = 256;
 constexpr milliseconds summary_interval{1000};
 constexpr milliseconds report_timeout{2000};
 } // namespace
@@ -41,7 +41,7 @@
         {
             never_started.ends.push_back({id, m_hall, static_cast<std::uint8_t>(job_outcome::cancelled)});
         }
-        else if (admit.jobs.size() < jobs_per_entry)
+        else if (admit.jobs.size() < max_jobs_per_entry)
         {
             admit.jobs.push_back(job.spec);
         }
--- a/src/node/hall_service.cpp
+++ b/src/node/hall_service.cpp
@@ -16,9 +16,9 @@
 {
 constexpr double clock_drift = 0.05;
 constexpr std::size_t max_placements_per_entry = 512;
-constexpr std::size_t most_placed_known = 20'000; // starts per minute at the design load of a cell
-constexpr wall_ms first_probe_after = 60'000;
-constexpr std::uint32_t most_probe_doublings = 6;
+constexpr std::size_t max_placed_kept = 20'000; // starts per minute at the design load of a cell
+constexpr wall_ms initial_probe_delay = 60'000;
+constexpr std::uint32_t max_probe_doublings = 6;
 } // namespace
 
 hall_service::leader_state::leader_state(const settings& config, scheduler_settings policy)
@@ -47,7 +47,7 @@
     {
         return m_state.load(bytes);
     };
-    group_duties callbacks;
+    group_callbacks callbacks;
     callbacks.handle = [this](const call_body& body, const reply_handler& handler)
     {
         handle(body, handler);
@@ -87,7 +87,7 @@
     }
     if (m_leader_state)
     {
-        note_events(at, value_of(command));
+        record_events(at, value_of(command));
     }
     return encode(m_state.apply(at, value_of(command)));
 }
@@ -111,15 +111,15 @@
             m_leader_state->service_revision[id] = ++m_leader_state->revision;
         }
     }
-    if (changes.services != m_seen_services)
+    if (changes.services != m_notified_services)
     {
-        m_seen_services = changes.services;
+        m_notified_services = changes.services;
         m_core.notify_peers(group_of(m_hall));
     }
     const std::set<worker_id> touched(changes.workers.begin(), changes.workers.end());
     for (const worker_id worker : touched)
     {
-        answer_parked(worker, now);
+        answer_deferred(worker, now);
     }
     if (!changes.ended.empty())
     {
@@ -163,7 +163,7 @@
     flush_reports();
     reconcile_with_root();
     schedule_waiting_tasks(wall);
-    answer_due(now);
+    answer_due_renewals(now);
     send_summary(now);
 }
 
@@ -195,10 +195,10 @@
 void hall_service::stop_leading()
 {
     m_leader_state.reset();
-    for (auto& [worker, deferred] : std::exchange(m_parked, {}))
+    for (auto& [worker, deferred] : std::exchange(m_deferred_renewals, {}))
     {
         deferred.handler(
-            not_here_reply{{}, static_cast<int>(node_code::not_leader), "The hall's leader has changed."});
+            call_error_reply{{}, static_cast<int>(node_code::not_leader), "The hall's leader has changed."});
     }
     m_log->info("No longer the leader.");
 }
@@ -237,7 +237,7 @@
         if (found != m_state.workers().end())
         {
             lost.workers.push_back({id, found->second.epoch});
-            const std::vector<run_id> unsent = withdraw_untold(id);
+            const std::vector<run_id> unsent = withdraw_unsent(id);
             lost.unsent.insert(lost.unsent.end(), unsent.begin(), unsent.end());
         }
     }
@@ -260,9 +260,9 @@
             });
 }
 
-void hall_service::remember_placed(const place_tasks& command)
+void hall_service::record_placed(const place_tasks& command)
 {
-    if (m_leader_state->placed.size() > most_placed_known)
+    if (m_leader_state->placed.size() > max_placed_kept)
     {
         const auto no_longer_placed = [this](const run_id& run)
         {
@@ -283,7 +283,7 @@
 // Returns runs that this leader placed on a worker without ever sending the start order, and prevents that it
 // is sent later. Such runs certainly never started. Otherwise a job that is not repeatable would end with an
 // unknown outcome if its worker's lease expired before the worker found the new leader.
-std::vector<run_id> hall_service::withdraw_untold(worker_id worker)
+std::vector<run_id> hall_service::withdraw_unsent(worker_id worker)
 {
     std::vector<run_id> out;
     const auto found = m_state.workers().find(worker);
@@ -321,8 +321,8 @@
     probe_workers probe;
     for (const auto& [id, worker] : m_state.workers())
     {
-        const std::uint32_t doublings = std::min(worker.quarantines, most_probe_doublings);
-        const wall_ms wait = first_probe_after << (doublings > 0 ? doublings - 1 : 0);
+        const std::uint32_t doublings = std::min(worker.quarantines, max_probe_doublings);
+        const wall_ms wait = initial_probe_delay << (doublings > 0 ? doublings - 1 : 0);
         if (worker.state() == worker_phase::quarantined && wall - worker.phase_since >= wait)
         {
             probe.workers.push_back(id);
@@ -365,7 +365,7 @@
                 m_leader_state->plan_in_flight = false;
                 if (committed && answer.applied == command.placements.size())
                 {
-                    remember_placed(command);
+                    record_placed(command);
                 }
                 if (!committed)
                 {
@@ -382,7 +382,7 @@
 {
     if (!m_leader_state)
     {
-        handler(not_here_reply{
+        handler(call_error_reply{
             {}, static_cast<int>(node_code::not_leader), "The leader of the hall is not ready yet."});
         return;
     }
@@ -404,7 +404,7 @@
         auto command = decode<hall_command>(call->command);
         if (!ok(command))
         {
-            handler(not_here_reply{{}, error_of(command).number(), error_of(command).detail});
+            handler(call_error_reply{{}, error_of(command).number(), error_of(command).detail});
             return;
         }
         propose(value_of(command),
@@ -412,13 +412,13 @@
                 {
                     committed
                         ? handler(hall_reply{answer})
-                        : handler(not_here_reply{
+                        : handler(call_error_reply{
                               {}, static_cast<int>(node_code::not_leader), "The command was not committed."});
                 });
     }
     else
     {
-        handler(not_here_reply{
+        handler(call_error_reply{
             {}, static_cast<int>(node_code::bad_request), "A hall does not handle this kind of call."});
     }
 }
@@ -465,7 +465,7 @@
     handler(std::move(reply));
 }
 
-void hall_service::take_platform_list(const std::set<worker_id>& live, const std::set<worker_id>& leaving)
+void hall_service::apply_platform_list(const std::set<worker_id>& live, const std::set<worker_id>& leaving)
 {
     if (!m_leader_state)
     {
--- a/src/node/http_host.cpp
+++ b/src/node/http_host.cpp
@@ -53,7 +53,7 @@
         m_changed.notify_all();
         return true;
     }
-    void wait_and_add(const std::function<void()>& job, std::size_t max_queued)
+    void enqueue_when_free(const std::function<void()>& job, std::size_t max_queued)
     {
         std::unique_lock lock(m_mutex);
         m_changed.wait(lock,
@@ -113,7 +113,7 @@
 class bounded_queue : public httplib::TaskQueue
 {
   public:
-    explicit bounded_queue(const http_bounds& limits)
+    explicit bounded_queue(const http_limits& limits)
         : m_max_queued(limits.queue), m_main(limits.threads, false), m_overflow(overflow_threads, true)
     {
     }
@@ -121,7 +121,7 @@
     {
         if (!m_main.try_enqueue(job, m_max_queued))
         {
-            m_overflow.wait_and_add(job, m_max_queued);
+            m_overflow.enqueue_when_free(job, m_max_queued);
         }
     }
     void shutdown() override
@@ -168,7 +168,7 @@
     };
 }
 
-void set_error_answers(httplib::Server& server)
+void set_error_responses(httplib::Server& server)
 {
     server.set_pre_routing_handler(
         [](const httplib::Request&, httplib::Response& response)
@@ -208,15 +208,15 @@
 }
 } // namespace
 
-struct http_host::implementation
+struct http_server::implementation
 {
     socket_address address;
     std::unique_ptr<httplib::Server> server;
     std::thread thread;
 };
 
-http_host::http_host(socket_address address, const http_bounds& limits, const std::string& certificate,
-                     const std::string& key)
+http_server::http_server(socket_address address, const http_limits& limits, const std::string& certificate,
+                         const std::string& key)
     : m_implementation(std::make_unique<implementation>())
 {
     m_implementation->address = std::move(address);
@@ -239,35 +239,35 @@
     server.set_keep_alive_max_count(requests_per_connection);
     server.set_read_timeout(static_cast<time_t>(limits.read_timeout.count()));
     server.set_write_timeout(static_cast<time_t>(limits.read_timeout.count()));
-    set_error_answers(server);
+    set_error_responses(server);
 }
 
-http_host::~http_host()
+http_server::~http_server()
 {
     stop();
 }
 
-void http_host::get(const std::string& pattern, http_handler handler)
+void http_server::get(const std::string& pattern, http_handler handler)
 {
     m_implementation->server->Get(pattern, to_library(std::move(handler)));
 }
 
-void http_host::put(const std::string& pattern, http_handler handler)
+void http_server::put(const std::string& pattern, http_handler handler)
 {
     m_implementation->server->Put(pattern, to_library(std::move(handler)));
 }
 
-void http_host::post(const std::string& pattern, http_handler handler)
+void http_server::post(const std::string& pattern, http_handler handler)
 {
     m_implementation->server->Post(pattern, to_library(std::move(handler)));
 }
 
-void http_host::erase(const std::string& pattern, http_handler handler)
+void http_server::erase(const std::string& pattern, http_handler handler)
 {
     m_implementation->server->Delete(pattern, to_library(std::move(handler)));
 }
 
-bool http_host::start()
+bool http_server::start()
 {
     implementation& impl = *m_implementation;
     if (!impl.server->is_valid() || !impl.server->bind_to_port(impl.address.ip.c_str(), impl.address.port))
@@ -286,7 +286,7 @@
     return true;
 }
 
-void http_host::stop()
+void http_server::stop()
 {
     implementation& impl = *m_implementation;
     if (impl.thread.joinable())
--- a/src/node/operator_api.cpp
+++ b/src/node/operator_api.cpp
@@ -18,9 +18,9 @@
 constexpr milliseconds query_timeout{3000};
 const std::string name_pattern = "([A-Za-z0-9][A-Za-z0-9._-]{0,63})";
 
-http_response elsewhere_answer(const reply_body& reply)
+http_response call_error_response(const reply_body& reply)
 {
-    const auto* call_error = std::get_if<not_here_reply>(&reply);
+    const auto* call_error = std::get_if<call_error_reply>(&reply);
     const int code = call_error == nullptr ? static_cast<int>(node_code::no_leader) : call_error->code;
     const bool outcome_unknown = code == static_cast<int>(node_code::timed_out);
     return error_response(outcome_unknown ? http_status::timed_out : http_status::unavailable, code,
@@ -79,7 +79,7 @@
     };
 }
 
-http_handler operator_api::for_admins(plain_handler handler)
+http_handler operator_api::require_admin(plain_handler handler)
 {
     return [this, handler = std::move(handler)](const http_request& request)
     {
@@ -90,7 +90,7 @@
     };
 }
 
-void operator_api::add_routes(http_host& server)
+void operator_api::add_routes(http_server& server)
 {
     add_health(server);
     server.get("/readyz",
@@ -108,7 +108,7 @@
     add_admin_routes(server);
 }
 
-void operator_api::add_health(http_host& server)
+void operator_api::add_health(http_server& server)
 {
     server.get("/healthz",
                [this](const http_request&)
@@ -119,7 +119,7 @@
                });
 }
 
-void operator_api::add_configuration_routes(http_host& server)
+void operator_api::add_configuration_routes(http_server& server)
 {
     using organisation = const organisation_settings&;
     using what = const http_request&;
@@ -156,7 +156,7 @@
                                        }));
 }
 
-void operator_api::add_state_routes(http_host& server)
+void operator_api::add_state_routes(http_server& server)
 {
     using organisation = const organisation_settings&;
     using what = const http_request&;
@@ -191,24 +191,24 @@
                });
 }
 
-void operator_api::add_admin_routes(http_host& server)
+void operator_api::add_admin_routes(http_server& server)
 {
-    server.get("/v1/hosts", for_admins(
+    server.get("/v1/hosts", require_admin(
                                 [this](const http_request&)
                                 {
                                     return hosts();
                                 }));
-    server.post("/v1/hosts/([0-9]{1,9})/drain", for_admins(
+    server.post("/v1/hosts/([0-9]{1,9})/drain", require_admin(
                                                     [this](const http_request& r)
                                                     {
                                                         return drain(r);
                                                     }));
-    server.get("/v1/groups", for_admins(
+    server.get("/v1/groups", require_admin(
                                  [this](const http_request&)
                                  {
                                      return groups();
                                  }));
-    server.post("/v1/members/([0-9]{1,5})/replace", for_admins(
+    server.post("/v1/members/([0-9]{1,5})/replace", require_admin(
                                                         [this](const http_request& r)
                                                         {
                                                             return replace_member(r);
@@ -226,7 +226,7 @@
     if (answered == nullptr)
     {
         m_core.counters().count_command(organisation.name, "unavailable");
-        return elsewhere_answer(reply);
+        return call_error_response(reply);
     }
     const root_result& answer = answered->answer;
     m_core.counters().count_command(organisation.name, answer.code == 0 ? "accepted" : "refused");
@@ -386,7 +386,7 @@
     std::vector<timeline_event> events;
     for (const peer_settings& peer : m_core.config().peers)
     {
-        const reply_body reply = m_core.ask_node(peer.node, root_group, call, query_timeout);
+        const reply_body reply = m_core.call_node_and_wait(peer.node, root_group, call, query_timeout);
         if (const auto* part = std::get_if<timeline_reply>(&reply))
         {
             events.insert(events.end(), part->events.begin(), part->events.end());
@@ -426,7 +426,7 @@
     const hall_command command = drain_workers{{worker}, !back};
     const reply_body reply =
         m_core.call_and_wait(group_of(hall->id), hall_call{encode(command)}, command_timeout);
-    return std::holds_alternative<hall_reply>(reply) ? ok_response("{}") : elsewhere_answer(reply);
+    return std::holds_alternative<hall_reply>(reply) ? ok_response("{}") : call_error_response(reply);
 }
 
 http_response operator_api::groups()
@@ -437,7 +437,7 @@
         const query_call query{static_cast<std::uint8_t>(query_kind::group), {}, {}, {}};
         for (const node_id node : m_core.config().replicas_of(group))
         {
-            const reply_body reply = m_core.ask_node(node, group, query, query_timeout);
+            const reply_body reply = m_core.call_node_and_wait(node, group, query, query_timeout);
             if (const auto* document = std::get_if<document_reply>(&reply))
             {
                 auto part = nlohmann::json::parse(document->json);
@@ -475,7 +475,7 @@
         const auto* accepted = std::get_if<done_reply>(&reply);
         if (accepted == nullptr)
         {
-            return elsewhere_answer(reply);
+            return call_error_response(reply);
         }
         changed = changed || accepted->changed;
     }
--- a/src/node/platform_watch.cpp
+++ b/src/node/platform_watch.cpp
@@ -62,7 +62,7 @@
 {
     while (!m_stopping)
     {
-        ask_once();
+        poll_once();
         for (milliseconds waited{0}; waited < poll_interval && !m_stopping; waited += stop_check_interval)
         {
             std::this_thread::sleep_for(stop_check_interval);
@@ -70,7 +70,7 @@
     }
 }
 
-void platform_watch::ask_once()
+void platform_watch::poll_once()
 {
     httplib::Client client(m_platform.ip, m_platform.port);
     client.set_connection_timeout(request_timeout);
--- a/src/node/process.cpp
+++ b/src/node/process.cpp
@@ -31,7 +31,7 @@
         }
     }
     m_feed.attach();
-    m_core.on_news(
+    m_core.on_change_notice(
         [this](group_id group)
         {
             group == root_group ? m_root.refresh() : m_feed.refresh(hall_id{group.value()});
@@ -52,7 +52,7 @@
                     {
                         for (auto& [id, hall] : m_halls)
                         {
-                            hall->take_platform_list(live, leaving);
+                            hall->apply_platform_list(live, leaving);
                         }
                     });
             });
@@ -65,23 +65,23 @@
     stop();
 }
 
-std::unique_ptr<http_host> process::make_host(const socket_address& address, std::size_t threads) const
+std::unique_ptr<http_server> process::make_server(const socket_address& address, std::size_t threads) const
 {
-    http_bounds limits;
+    http_limits limits;
     limits.threads = threads;
     limits.queue = static_cast<std::size_t>(m_settings.limits.http_queue);
     limits.body_bytes = static_cast<std::size_t>(m_settings.limits.body_bytes);
-    return std::make_unique<http_host>(address, limits, m_settings.tls_certificate, m_settings.tls_key);
+    return std::make_unique<http_server>(address, limits, m_settings.tls_certificate, m_settings.tls_key);
 }
 
 void process::make_listeners()
 {
     const auto threads = static_cast<std::size_t>(m_settings.limits.http_threads);
-    m_servers.push_back(make_host(m_settings.operators, operator_threads));
+    m_servers.push_back(make_server(m_settings.operators, operator_threads));
     m_operators.add_routes(*m_servers.back());
     if (m_settings.workers.port != 0)
     {
-        m_servers.push_back(make_host(m_settings.workers, threads));
+        m_servers.push_back(make_server(m_settings.workers, threads));
         m_workers.add_routes(*m_servers.back());
     }
     for (const organisation_settings& organisation : m_settings.organisations)
@@ -90,8 +90,8 @@
         {
             continue;
         }
-        m_caller_hosts.push_back(make_host(organisation.callers, threads));
-        http_host& server = *m_caller_hosts.back();
+        m_caller_servers.push_back(make_server(organisation.callers, threads));
+        http_server& server = *m_caller_servers.back();
         m_operators.add_health(server);
         server.post("/v1/services/" + name_pattern + "/requests",
                     [this, &organisation](const http_request& request)
@@ -116,7 +116,7 @@
         m_log->error("Cannot bind the peer address.");
         return false;
     }
-    for (auto* servers : {&m_servers, &m_caller_hosts})
+    for (auto* servers : {&m_servers, &m_caller_servers})
     {
         for (auto& server : *servers)
         {
@@ -147,11 +147,11 @@
     }
     m_log->info("Shutting down; reporting unhealthy.");
     m_healthy = false;
-    if (!m_caller_hosts.empty() && !m_core.failed())
+    if (!m_caller_servers.empty() && !m_core.failed())
     {
         std::this_thread::sleep_for(m_settings.timing.balancer);
     }
-    for (auto& server : m_caller_hosts)
+    for (auto& server : m_caller_servers)
     {
         server->stop();
     }
--- a/src/node/request_router.cpp
+++ b/src/node/request_router.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 constexpr std::size_t max_attempts = 3;
-constexpr std::size_t longest_kept_body = 16U << 10U;
+constexpr std::size_t max_stored_body_bytes = 16U << 10U;
 constexpr milliseconds claim_timeout{2500};
 constexpr milliseconds record_outcome_timeout{2500};
 
@@ -179,11 +179,11 @@
     const claim_result& claimed = answered->answer.claim;
     if (claimed.code != 0)
     {
-        return refused_claim(request, claimed);
+        return claim_error_response(request, claimed);
     }
     if (static_cast<claim_phase>(claimed.phase) == claim_phase::completed)
     {
-        return kept_answer(claimed);
+        return replayed_response(claimed);
     }
     record_event(event_kind::request_claimed, request, request.key);
     const routing_result end = send(request);
@@ -195,7 +195,7 @@
     return response_for(request, end);
 }
 
-http_response request_router::kept_answer(const claim_result& kept)
+http_response request_router::replayed_response(const claim_result& kept)
 {
     if (kept.status == 0)
     {
@@ -212,7 +212,7 @@
     return with_outcome(std::move(answer), request_outcome::completed);
 }
 
-http_response request_router::refused_claim(const routed_request& request, const claim_result& refused)
+http_response request_router::claim_error_response(const routed_request& request, const claim_result& refused)
 {
     const auto code = static_cast<state_code>(refused.code);
     switch (code)
@@ -246,7 +246,7 @@
     settled.digest = digest_of_request(request.service.second, request.body);
     settled.key_time = request.key_time;
     const bool kept =
-        end.outcome == request_outcome::completed && end.exchange.body.size() <= longest_kept_body;
+        end.outcome == request_outcome::completed && end.exchange.body.size() <= max_stored_body_bytes;
     if (kept)
     {
         settled.status = static_cast<std::uint16_t>(end.exchange.status);
--- a/src/node/root_service.cpp
+++ b/src/node/root_service.cpp
@@ -46,7 +46,7 @@
         {
             return m_state.load(bytes);
         };
-        group_duties callbacks;
+        group_callbacks callbacks;
         callbacks.handle = [this](const call_body& body, const reply_handler& handler)
         {
             handle(body, handler);
@@ -98,9 +98,9 @@
     {
         handle_command(*command, handler);
     }
-    else if (const auto* update = std::get_if<root_view_call>(&body))
+    else if (const auto* update = std::get_if<root_update_call>(&body))
     {
-        handle_view(*update, handler);
+        handle_update_call(*update, handler);
     }
     else if (const auto* query = std::get_if<query_call>(&body))
     {
@@ -113,7 +113,7 @@
     }
     else
     {
-        handler(not_here_reply{
+        handler(call_error_reply{
             {}, static_cast<int>(node_code::bad_request), "Root does not handle this kind of call."});
     }
 }
@@ -142,7 +142,7 @@
         auto answer = bytes ? decode<root_result>(*bytes) : result<root_result, wire_error>{wire_error{}};
         if (!ok(answer))
         {
-            handler(not_here_reply{
+            handler(call_error_reply{
                 {}, static_cast<int>(node_code::not_leader), "The command was not committed."});
             return;
         }
@@ -198,9 +198,9 @@
     m_halls[call.hall] = hall_load{call.capacity, call.reserved, call.largest, {}};
 }
 
-void root_service::handle_view(const root_view_call& call, const reply_handler& handler)
+void root_service::handle_update_call(const root_update_call& call, const reply_handler& handler)
 {
-    root_view_reply reply;
+    root_update_reply reply;
     reply.commit = m_group->core().commit_index();
     const log_tail& log = m_group->core().log();
     if (call.known < log.base_index())
@@ -260,7 +260,7 @@
 
 void root_service::tick(monotonic_time now)
 {
-    if (now >= m_next_view)
+    if (now >= m_next_update)
     {
         refresh();
     }
@@ -268,7 +268,7 @@
 
 void root_service::refresh()
 {
-    m_next_view = monotonic_now() + m_core.config().timing.feed;
+    m_next_update = monotonic_now() + m_core.config().timing.feed;
     if (m_update_in_flight)
     {
         m_refresh_again = true;
@@ -279,19 +279,19 @@
     const auto answered = [this, sent_at](const reply_body& reply)
     {
         m_update_in_flight = false;
-        if (const auto* update = std::get_if<root_view_reply>(&reply))
+        if (const auto* update = std::get_if<root_update_reply>(&reply))
         {
-            take_view(sent_at, *update);
+            apply_update_reply(sent_at, *update);
         }
         if (std::exchange(m_refresh_again, false))
         {
             refresh();
         }
     };
-    m_core.call(root_group, root_view_call{applied()}, m_core.config().timing.feed * 2, answered);
+    m_core.call(root_group, root_update_call{applied()}, m_core.config().timing.feed * 2, answered);
 }
 
-void root_service::take_view(monotonic_time sent_at, const root_view_reply& reply)
+void root_service::apply_update_reply(monotonic_time sent_at, const root_update_reply& reply)
 {
     if (m_group == nullptr)
     {
@@ -319,7 +319,7 @@
             changed();
         }
     }
-    m_pending_asked = std::max(m_pending_asked, sent_at);
+    m_pending_sent_at = std::max(m_pending_sent_at, sent_at);
     m_pending_commit = reply.commit;
     confirm_if_applied();
 }
@@ -328,7 +328,7 @@
 {
     if (applied() >= m_pending_commit)
     {
-        m_confirmed_at = std::max(m_confirmed_at, m_pending_asked);
+        m_confirmed_at = std::max(m_confirmed_at, m_pending_sent_at);
     }
 }
 
--- a/src/node/worker_api.cpp
+++ b/src/node/worker_api.cpp
@@ -10,16 +10,16 @@
 
 namespace
 {
-constexpr int margins_per_lease = 8;
-constexpr milliseconds least_margin{300};
-constexpr milliseconds most_margin{1500};
+constexpr int lease_margin_divisor = 8;
+constexpr milliseconds min_margin{300};
+constexpr milliseconds max_margin{1500};
 } // namespace
 
 worker_api::worker_api(process_core& core) : m_core(core), m_access(core.config())
 {
 }
 
-void worker_api::add_routes(http_host& server)
+void worker_api::add_routes(http_server& server)
 {
     const std::string name = "([A-Za-z0-9][A-Za-z0-9._-]{0,63})";
     server.post("/v1/halls/" + name + "/renew",
@@ -45,8 +45,8 @@
     }
     renew_call& call = value_of(parsed);
     call.wait_ms = std::min<std::int64_t>(call.wait_ms, m_core.config().timing.worker_poll.count());
-    const milliseconds margin = m_core.config().timing.worker_lease / margins_per_lease;
-    const milliseconds timeout = milliseconds(call.wait_ms) + std::clamp(margin, least_margin, most_margin);
+    const milliseconds margin = m_core.config().timing.worker_lease / lease_margin_divisor;
+    const milliseconds timeout = milliseconds(call.wait_ms) + std::clamp(margin, min_margin, max_margin);
     const reply_body reply = m_core.call_and_wait(group_of(hall->id), std::move(call), timeout);
     if (const auto* answered = std::get_if<renew_reply>(&reply))
     {
--- a/tests/src/unit-calls.cpp
+++ b/tests/src/unit-calls.cpp
@@ -41,10 +41,10 @@
 
 // A peer that does not answer its first call. It answers each later, different call twice: first with the id
 // of the first call, then with the id of the call itself.
-class answering_process
+class replying_peer
 {
   public:
-    explicit answering_process(settings config)
+    explicit replying_peer(settings config)
         : m_settings(std::move(config)), m_network(m_settings, incarnation_id{1}, m_events, m_metrics,
                                                    [this](node_id from, const peer_message& message)
                                                    {
@@ -53,12 +53,12 @@
     {
         BOOST_REQUIRE(m_network.start());
     }
-    ~answering_process()
+    ~replying_peer()
     {
         m_network.stop();
     }
-    answering_process(const answering_process&) = delete;
-    answering_process& operator=(const answering_process&) = delete;
+    replying_peer(const replying_peer&) = delete;
+    replying_peer& operator=(const replying_peer&) = delete;
 
     // The first call received is never answered.
     void wait_for_first_call()
@@ -110,12 +110,12 @@
 
 // A process is killed and restarts soon after. Replies to calls of its former incarnation still arrive and
 // must not be taken for replies to new calls.
-BOOST_AUTO_TEST_CASE(a_reply_to_the_former_life_answers_no_call_of_the_next)
+BOOST_AUTO_TEST_CASE(a_reply_to_a_former_incarnation_answers_no_new_call)
 {
     const std::uint16_t caller_port = free_port();
     const std::uint16_t callee_port = free_port();
     const settings config = settings_of(caller, caller_port, callee_port);
-    answering_process other(settings_of(callee, caller_port, callee_port));
+    replying_peer other(settings_of(callee, caller_port, callee_port));
     timeline events{caller, 16};
     metrics counters;
     {
@@ -126,7 +126,7 @@
     }
     process_core next(config, nullptr, events, counters);
     BOOST_REQUIRE(next.start());
-    const reply_body reply = next.ask_node(callee, root_group, query_of_kind(2), call_timeout);
+    const reply_body reply = next.call_node_and_wait(callee, root_group, query_of_kind(2), call_timeout);
     BOOST_REQUIRE(std::holds_alternative<document_reply>(reply));
     BOOST_TEST(std::get<document_reply>(reply).json == "reply to this call");
 }
--- a/tests/src/unit-clock.cpp
+++ b/tests/src/unit-clock.cpp
@@ -24,12 +24,12 @@
 
 // Leases, timeouts and idle times are measured with this clock. If it stopped during a suspension, a leader
 // that resumes would act as if its lease were still valid, although another leader may have taken over.
-BOOST_AUTO_TEST_CASE(time_passes_while_a_machine_is_suspended)
+BOOST_AUTO_TEST_CASE(monotonic_time_advances_while_the_machine_is_suspended)
 {
     const monotonic_time before = monotonic_now();
-    const duration so_far = suspended_so_far();
+    const duration so_far = total_suspended_time();
     suspended_s = 7;
     BOOST_TEST((monotonic_now() - before >= seconds(7)));
-    BOOST_TEST((suspended_so_far() - so_far >= milliseconds(6900))); // the two clocks are read in turn
+    BOOST_TEST((total_suspended_time() - so_far >= milliseconds(6900))); // the two clocks are read in turn
     BOOST_TEST((monotonic_now() - before < seconds(60)));
 }
