--- a/bench/bench_leader.cpp
+++ b/bench/bench_leader.cpp
@@ -343,7 +343,7 @@
             return;
         }
         const double used = thread_seconds() - m_began;
-        figure_page page;
+        metrics_page page;
         m_node->fill(page);
         const double starts = figure_of(page.text(), "walkthread_task_starts_total ");
         std::printf("workers %zu, starts a second %.0f, cores %.3f, us a start %.1f, not sent %.0f\n",
--- a/include/walkthread/fabric/core_node.hpp
+++ b/include/walkthread/fabric/core_node.hpp
@@ -60,7 +60,7 @@
     void prepare_stop() override;
     /// @brief Whether this process no longer leads, so that it may exit.
     [[nodiscard]] bool may_exit() const;
-    void fill(figure_page& page) const override;
+    void fill(metrics_page& page) const override;
 
   protected:
     void receive(const std::string& from, mesh_message message) override;
@@ -123,7 +123,7 @@
     [[nodiscard]] std::optional<service_reply> check_access(const access_decision& caller,
                                                             std::string_view call);
 
-    void fill_leading(figure_page& page) const;
+    void fill_leading(metrics_page& page) const;
 
     core_node_settings m_core_settings;
     std::function<void(const storage_error&)> m_stop;
--- a/include/walkthread/fabric/fabric_node.hpp
+++ b/include/walkthread/fabric/fabric_node.hpp
@@ -87,7 +87,7 @@
     {
     }
     /// @brief Adds this process's metrics to a metrics page.
-    virtual void fill(figure_page& page) const;
+    virtual void fill(metrics_page& page) const;
 
   protected:
     virtual void receive(const std::string& from, mesh_message message);
--- a/include/walkthread/fabric/pooled_client.hpp
+++ b/include/walkthread/fabric/pooled_client.hpp
@@ -38,7 +38,7 @@
     void send(const std::string& address, web_request request, call_priority priority, milliseconds timeout,
               web_response_handler handler);
     /// @brief Adds the metrics of the connections to a metrics page.
-    void fill(figure_page& page) const;
+    void fill(metrics_page& page) const;
 
   private:
     struct open_call
--- a/include/walkthread/node/endpoint_feed.hpp
+++ b/include/walkthread/node/endpoint_feed.hpp
@@ -43,7 +43,7 @@
     [[nodiscard]] std::optional<endpoint> begin(const endpoint_directory::service_key& service,
                                                 std::uint64_t hash, const std::vector<endpoint_key>& tried,
                                                 monotonic_time now);
-    void end(const endpoint_directory::service_key& service, const endpoint& used, endpoint_verdict verdict,
+    void end(const endpoint_directory::service_key& service, const endpoint& used, endpoint_feedback verdict,
              monotonic_time now);
 
   private:
--- a/include/walkthread/node/exchange.hpp
+++ b/include/walkthread/node/exchange.hpp
@@ -32,7 +32,7 @@
 /// @since 0.1
 struct exchange_result
 {
-    exchange_end end = exchange_end::not_sent;
+    exchange_outcome end = exchange_outcome::not_sent;
     int status = 0;
     std::string body{};
     std::string content_type{};
--- a/include/walkthread/observe/decision_log.hpp
+++ b/include/walkthread/observe/decision_log.hpp
@@ -52,9 +52,10 @@
 /// @brief Limits of the log.
 struct decision_log_settings
 {
-    std::int64_t lines_per_second = 600;     ///< about twice the task starts per second at peak load
-    std::int64_t own_lines_per_second = 100; ///< lines about the process itself: peers, leadership, settings
-    std::size_t queue_lines = 512;           ///< capacity of the writer's queue; the oldest lines are dropped
+    std::int64_t lines_per_second = 600; ///< about twice the task starts per second at peak load
+    std::int64_t process_lines_per_second =
+        100;                       ///< lines about the process itself: peers, leadership, settings
+    std::size_t queue_lines = 512; ///< capacity of the writer's queue; the oldest lines are dropped
 };
 
 /// @brief Writes decisions. Not thread-safe; a background thread of the logging library writes to the sink.
@@ -96,10 +97,10 @@
     std::shared_ptr<spdlog::details::thread_pool> m_writer;
     std::shared_ptr<spdlog::logger> m_logger;
     monotonic_time m_second{};
-    std::int64_t m_in_second = 0;
-    std::int64_t m_own_in_second = 0;
+    std::int64_t m_lines_in_second = 0;
+    std::int64_t m_process_lines_in_second = 0;
     std::uint64_t m_written = 0;
-    std::uint64_t m_over_rate = 0;
+    std::uint64_t m_rate_limited = 0;
     std::uint64_t m_reported_dropped = 0;
 };
 
--- a/include/walkthread/observe/figure_page.hpp
+++ b/include/walkthread/observe/figure_page.hpp
@@ -19,7 +19,7 @@
 
 /// @brief One metrics page, built for a single request. All metric names are fixed at compile time.
 /// @since 0.2
-class figure_page
+class metrics_page
 {
   public:
     /// @brief Adds a counter, which only increases during the lifetime of the process.
--- a/include/walkthread/observe/losses.hpp
+++ b/include/walkthread/observe/losses.hpp
@@ -51,7 +51,7 @@
 ///
 /// A submission counts as late if a start was planned when it could no longer meet its latency objective.
 /// @since 0.3
-class loss_reader
+class loss_analyzer
 {
   public:
     /// @brief Adds a log. Text before the JSON object of a line is skipped; unreadable lines are counted.
@@ -87,8 +87,8 @@
         std::int64_t late_start{-1};
         time_span late_wait{}; ///< the wait before the late start
         std::int64_t advice_asked{-1};
-        std::int64_t in_advice{}; ///< milliseconds of the current wait with an advisor query pending
-        std::int64_t late_advice{};
+        std::int64_t advice_wait_ms{}; ///< milliseconds of the current wait with an advisor query pending
+        std::int64_t late_advice_wait_ms{};
         bool started{};
         bool refused{};
         bool lost_host{};
@@ -97,7 +97,7 @@
     };
 
     void process_line(const log_line& line);
-    void take_leader_line(const log_line& line);
+    void process_leader_line(const log_line& line);
     static void record_start(submission_record& submission, const log_line& line);
     static void record_end(submission_record& submission, const log_line& line);
     [[nodiscard]] loss_cause cause_of(const submission_record& submission) const;
--- a/include/walkthread/observe/story.hpp
+++ b/include/walkthread/observe/story.hpp
@@ -14,7 +14,7 @@
 {
 
 /// @brief One line of a decision log.
-struct story_line
+struct history_entry
 {
     std::int64_t at_ms{}; ///< wall time of the writing process
     std::string process;
@@ -28,7 +28,7 @@
 /// @brief The log lines about a submission, and their likely explanation.
 struct submission_history
 {
-    std::vector<story_line> lines;
+    std::vector<history_entry> lines;
     std::vector<std::string> conclusions; ///< sentences for the operator, most significant first
     std::uint64_t unreadable{};           ///< lines that are no JSON object
 };
--- a/include/walkthread/replay/replay.hpp
+++ b/include/walkthread/replay/replay.hpp
@@ -17,7 +17,7 @@
 {
 
 /// @brief Wait times of one organisation's tasks of one workload kind.
-struct wait_figures
+struct wait_statistics
 {
     std::uint64_t tasks{};
     std::uint64_t never_started{};
@@ -31,7 +31,7 @@
 struct replay_report
 {
     std::string policy{};
-    std::map<std::string, wait_figures> waits{}; ///< by "organisation/kind", and for "urgent" tasks
+    std::map<std::string, wait_statistics> waits{}; ///< by "organisation/kind", and for "urgent" tasks
     double packing{};     ///< dominant share of the capacity in use, averaged over the time that work waits
     double worst_share{}; ///< lowest ratio of share to fair share among the organisations with waiting work,
                           ///< averaged over time
@@ -58,6 +58,6 @@
                                    scheduler_settings settings);
 /// @brief Checks the expectations of a trace. Replays each policy that they name.
 /// @return a sentence for each expectation that was not met
-[[nodiscard]] std::vector<std::string> missed_outcomes(const trace& recorded);
+[[nodiscard]] std::vector<std::string> find_missed_expectations(const trace& recorded);
 
 } // namespace walkthread
--- a/include/walkthread/replay/trace.hpp
+++ b/include/walkthread/replay/trace.hpp
@@ -54,20 +54,21 @@
 };
 
 /// @brief The workers with numbers from `first` to `last` crash.
-struct trace_lose
+struct trace_worker_loss
 {
     std::uint32_t first{};
     std::uint32_t last{};
 };
 
 /// @brief The workers with numbers from `first` to `last` fail every task from now on.
-struct trace_failing
+struct trace_worker_failures
 {
     std::uint32_t first{};
     std::uint32_t last{};
 };
 
-using trace_event = std::variant<trace_workers, trace_job, trace_cancel, trace_lose, trace_failing>;
+using trace_event =
+    std::variant<trace_workers, trace_job, trace_cancel, trace_worker_loss, trace_worker_failures>;
 
 /// @brief An event and its time.
 struct timed_event
--- a/include/walkthread/routing/endpoints.hpp
+++ b/include/walkthread/routing/endpoints.hpp
@@ -58,14 +58,14 @@
 {
     endpoint where{};
     hall_id hall{};
-    std::uint32_t outstanding{};     ///< exchanges of this gateway in progress
-    std::uint32_t broken_in_a_row{}; ///< broken exchanges since the last complete response
-    monotonic_time suspect_until{};  ///< until then, used only if no other endpoint is usable
-    monotonic_time avoid_until{};    ///< until then, not used: unreachable or leaving
+    std::uint32_t outstanding{};        ///< exchanges of this gateway in progress
+    std::uint32_t consecutive_broken{}; ///< broken exchanges since the last complete response
+    monotonic_time suspect_until{};     ///< until then, used only if no other endpoint is usable
+    monotonic_time avoid_until{};       ///< until then, not used: unreachable or leaving
 };
 
 /// @brief What the result of an exchange says about the state of its endpoint.
-enum class endpoint_verdict : std::uint8_t
+enum class endpoint_feedback : std::uint8_t
 {
     healthy = 0,
     broken = 1, ///< no complete response was received
@@ -110,12 +110,12 @@
                                                 const std::vector<endpoint_key>& tried, monotonic_time now);
     /// @brief Ends an exchange that `begin` counted. An unavailable endpoint is not used for a while; after
     /// several consecutive broken exchanges an endpoint is used only if no other is usable.
-    void end(const service_key& service, const endpoint& used, endpoint_verdict verdict, monotonic_time now);
+    void end(const service_key& service, const endpoint& used, endpoint_feedback verdict, monotonic_time now);
     /// @brief The number of endpoints known for a service, usable or not.
     [[nodiscard]] std::size_t count(const service_key& service) const;
 
     static constexpr std::uint32_t suspect_threshold = 3;
-    static constexpr duration avoid_time = seconds(2);
+    static constexpr duration avoidance_period = seconds(2);
 
   private:
     [[nodiscard]] bool usable(const endpoint_state& state, const std::vector<endpoint_key>& tried,
--- a/include/walkthread/routing/outcome.hpp
+++ b/include/walkthread/routing/outcome.hpp
@@ -10,12 +10,12 @@
 {
 
 /// @brief How one exchange with an endpoint ended.
-enum class exchange_end : std::uint8_t
+enum class exchange_outcome : std::uint8_t
 {
-    whole_answer = 0, ///< a complete response with this attempt's id was received
-    not_sent = 1,     ///< no byte of the request left this process
-    refused = 2,      ///< the endpoint is leaving and did not run the request
-    broken = 3,       ///< bytes were sent, but no complete response to this attempt was received
+    complete_response = 0, ///< a complete response with this attempt's id was received
+    not_sent = 1,          ///< no byte of the request left this process
+    refused = 2,           ///< the endpoint is leaving and did not run the request
+    broken = 3,            ///< bytes were sent, but no complete response to this attempt was received
 };
 
 /// @brief The outcome that is reported to the caller.
@@ -46,13 +46,13 @@
 ///
 /// A not-repeatable request is sent to another endpoint only if it certainly did not run: no byte of it was
 /// sent, or the endpoint refused it.
-[[nodiscard]] constexpr next_step step_after(exchange_end end, bool repeatable)
+[[nodiscard]] constexpr next_step step_after(exchange_outcome end, bool repeatable)
 {
-    if (end == exchange_end::whole_answer)
+    if (end == exchange_outcome::complete_response)
     {
         return next_step::answer;
     }
-    const bool known_not_run = end == exchange_end::not_sent || end == exchange_end::refused;
+    const bool known_not_run = end == exchange_outcome::not_sent || end == exchange_outcome::refused;
     return known_not_run || repeatable ? next_step::try_another : next_step::give_up;
 }
 
--- a/include/walkthread/routing/request_key.hpp
+++ b/include/walkthread/routing/request_key.hpp
@@ -18,7 +18,7 @@
 
 /// @brief The timestamp in a version 7 UUID.
 /// @return no value if the text is not a version 7 UUID
-[[nodiscard]] std::optional<wall_ms> time_of_key(std::string_view key);
+[[nodiscard]] std::optional<wall_ms> timestamp_of_key(std::string_view key);
 
 /// @brief The hall group that owns a key. All processes agree on it as long as the number of halls in the
 /// settings does not change.
--- a/src/ctl/losses_command.cpp
+++ b/src/ctl/losses_command.cpp
@@ -74,7 +74,7 @@
         std::cerr << "losses takes log files: walkthreadctl losses LOG...\n";
         return exit_usage;
     }
-    loss_reader reader;
+    loss_analyzer reader;
     for (const std::string& word : arguments)
     {
         std::ifstream file(word);
--- a/src/ctl/replay_command.cpp
+++ b/src/ctl/replay_command.cpp
@@ -98,7 +98,7 @@
         reports.push_back(to_json(replay(value_of(recorded), policy, *settings)));
     }
     print_document(as_table ? transposed(reports).dump() : json(reports).dump(), as_table);
-    const std::vector<std::string> missed = missed_outcomes(value_of(recorded));
+    const std::vector<std::string> missed = find_missed_expectations(value_of(recorded));
     for (const std::string& sentence : missed)
     {
         std::cerr << "Missed: " << sentence << '\n';
--- a/src/ctl/story_command.cpp
+++ b/src/ctl/story_command.cpp
@@ -20,7 +20,7 @@
 void print_table(const submission_history& found)
 {
     const std::int64_t first = found.lines.front().at_ms;
-    for (const story_line& line : found.lines)
+    for (const history_entry& line : found.lines)
     {
         std::cout << '+' << line.at_ms - first << " ms  " << line.process << "  " << line.event << "  "
                   << line.id;
@@ -40,7 +40,7 @@
 {
     nlohmann::ordered_json out{{"lines", nlohmann::ordered_json::array()},
                                {"conclusions", found.conclusions}};
-    for (const story_line& line : found.lines)
+    for (const history_entry& line : found.lines)
     {
         out["lines"].push_back(nlohmann::ordered_json::parse(line.source));
     }
--- a/src/fabric/core_node.cpp
+++ b/src/fabric/core_node.cpp
@@ -410,7 +410,7 @@
     }
 }
 
-void core_node::fill(figure_page& page) const
+void core_node::fill(metrics_page& page) const
 {
     fabric_node::fill(page);
     const replica& core = m_replica->group().core();
@@ -437,7 +437,7 @@
 }
 
 // Metrics that are counted from the start of the current leadership.
-void core_node::fill_leading(figure_page& page) const
+void core_node::fill_leading(metrics_page& page) const
 {
     page.add_gauge("walkthread_advice_waiting", "Advisor queries that wait for a client.",
                    static_cast<double>(m_advisor_queries.waiting()));
--- a/src/fabric/fabric_node.cpp
+++ b/src/fabric/fabric_node.cpp
@@ -76,7 +76,7 @@
     m_watch.add_seeds(seeds);
 }
 
-void fabric_node::fill(figure_page& page) const
+void fabric_node::fill(metrics_page& page) const
 {
     page.add_gauge("walkthread_calls_waiting", "Calls to the leader without a reply yet.",
                    static_cast<double>(m_router.waiting()));
--- a/src/fabric/pooled_client.cpp
+++ b/src/fabric/pooled_client.cpp
@@ -155,7 +155,7 @@
     }
 }
 
-void pooled_client::fill(figure_page& page) const
+void pooled_client::fill(metrics_page& page) const
 {
     const std::string prefix = "walkthread_" + m_name + "_";
     page.add_gauge(prefix + "connections", "Connections to workers for " + m_name + ".",
--- a/src/node/endpoint_feed.cpp
+++ b/src/node/endpoint_feed.cpp
@@ -130,7 +130,7 @@
 }
 
 void endpoint_feed::end(const endpoint_directory::service_key& service, const endpoint& used,
-                        endpoint_verdict verdict, monotonic_time now)
+                        endpoint_feedback verdict, monotonic_time now)
 {
     const std::scoped_lock lock(m_mutex);
     m_directory.end(service, used, verdict, now);
--- a/src/node/exchange.cpp
+++ b/src/node/exchange.cpp
@@ -25,21 +25,21 @@
            error == httplib::Error::BindIPAddress;
 }
 
-exchange_end classify(const httplib::Result& result, const exchange_request& request)
+exchange_outcome classify(const httplib::Result& result, const exchange_request& request)
 {
     if (!result)
     {
-        return never_sent(result.error()) ? exchange_end::not_sent : exchange_end::broken;
+        return never_sent(result.error()) ? exchange_outcome::not_sent : exchange_outcome::broken;
     }
     const bool names_attempt =
         result->get_header_value("X-Walkthread-Attempt") == std::to_string(request.attempt.value());
     const bool has_length = result->has_header("Content-Length");
     if (!names_attempt || !has_length)
     {
-        return exchange_end::broken;
+        return exchange_outcome::broken;
     }
     const bool leaving = result->has_header("X-Walkthread-Leaving");
-    return leaving ? exchange_end::refused : exchange_end::whole_answer;
+    return leaving ? exchange_outcome::refused : exchange_outcome::complete_response;
 }
 } // namespace
 
@@ -101,7 +101,7 @@
                                                        request.body, "application/octet-stream");
     exchange_result out;
     out.end = classify(result, request);
-    if (out.end == exchange_end::whole_answer)
+    if (out.end == exchange_outcome::complete_response)
     {
         out.status = result->status;
         out.body = result->body;
--- a/src/node/request_router.cpp
+++ b/src/node/request_router.cpp
@@ -23,16 +23,16 @@
     return answer;
 }
 
-endpoint_verdict verdict_of(exchange_end end)
+endpoint_feedback verdict_of(exchange_outcome end)
 {
     switch (end)
     {
-    case exchange_end::whole_answer:
-        return endpoint_verdict::healthy;
-    case exchange_end::broken:
-        return endpoint_verdict::broken;
+    case exchange_outcome::complete_response:
+        return endpoint_feedback::healthy;
+    case exchange_outcome::broken:
+        return endpoint_feedback::broken;
     default:
-        return endpoint_verdict::gone;
+        return endpoint_feedback::gone;
     }
 }
 
@@ -143,7 +143,7 @@
     {
         return response_for(request, send(request));
     }
-    const std::optional<wall_ms> time = time_of_key(request.key);
+    const std::optional<wall_ms> time = timestamp_of_key(request.key);
     if (!time)
     {
         return error_response(http_status::bad_request, static_cast<int>(node_code::bad_key),
@@ -172,9 +172,9 @@
         // The claim may still be committed. It belongs to this attempt and nothing was sent to an endpoint,
         // so it can be released.
         const bool given_up = record_outcome(request, routing_result{});
-        return given_up
-                   ? not_run(request, routing_code::no_claim, "The key could not be claimed at the moment.")
-                   : unknown(request, "The key could be neither claimed nor released.");
+        return given_up ? not_run(request, routing_code::claim_unavailable,
+                                  "The key could not be claimed at the moment.")
+                        : unknown(request, "The key could be neither claimed nor released.");
     }
     const claim_result& claimed = answered->answer.claim;
     if (claimed.code != 0)
@@ -199,7 +199,7 @@
 {
     if (kept.status == 0)
     {
-        const int code = static_cast<int>(routing_code::answer_not_kept);
+        const int code = static_cast<int>(routing_code::response_not_stored);
         return with_outcome(error_response(http_status::gone, code,
                                            "The request completed; its response was too long to be stored."),
                             request_outcome::completed);
@@ -300,7 +300,7 @@
         end.exchange = m_connections.run(
             *to, {attempt, request.service.second, request.body, !request.repeatable, time_left});
         m_feed.end(request.service, *to, verdict_of(end.exchange.end), monotonic_now());
-        any_broken = any_broken || end.exchange.end == exchange_end::broken;
+        any_broken = any_broken || end.exchange.end == exchange_outcome::broken;
         const next_step step = step_after(end.exchange.end, request.repeatable);
         if (step == next_step::answer)
         {
@@ -313,7 +313,7 @@
         }
     }
     end.outcome = outcome_without_answer(any_broken);
-    end.reason = tried.empty() ? routing_code::no_endpoint : routing_code::not_reached;
+    end.reason = tried.empty() ? routing_code::no_endpoint : routing_code::endpoint_unreachable;
     return end;
 }
 
--- a/src/observe/decision_log.cpp
+++ b/src/observe/decision_log.cpp
@@ -22,7 +22,7 @@
 
 std::uint64_t decision_log::dropped() const
 {
-    return m_over_rate + (m_writer ? m_writer->overrun_counter() : 0);
+    return m_rate_limited + (m_writer ? m_writer->overrun_counter() : 0);
 }
 
 void decision_log::write(monotonic_time now, wall_ms at, std::string_view event, std::string_view subject,
@@ -35,8 +35,8 @@
     if (now - m_second >= seconds(1))
     {
         m_second = now;
-        m_in_second = 0;
-        m_own_in_second = 0;
+        m_lines_in_second = 0;
+        m_process_lines_in_second = 0;
         const std::uint64_t lost = dropped();
         if (lost > m_reported_dropped)
         {
@@ -47,10 +47,10 @@
     // Lines about the process itself have a limit of their own, so that a flood of requests cannot displace
     // them.
     const bool own = subject.empty();
-    const std::int64_t count = own ? ++m_own_in_second : ++m_in_second;
-    if (count > (own ? m_bounds.own_lines_per_second : m_bounds.lines_per_second))
+    const std::int64_t count = own ? ++m_process_lines_in_second : ++m_lines_in_second;
+    if (count > (own ? m_bounds.process_lines_per_second : m_bounds.lines_per_second))
     {
-        ++m_over_rate;
+        ++m_rate_limited;
         return;
     }
     emit(at, event, subject, fields);
--- a/src/observe/figure_page.cpp
+++ b/src/observe/figure_page.cpp
@@ -11,12 +11,12 @@
 namespace
 {
 // Seconds: from a commit on a healthy disk to the longest latency objective.
-const prometheus::Histogram::BucketBoundaries second_buckets{0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2,
-                                                             0.5,   1.0,   2.0,  5.0,  10.0, 30.0};
+const prometheus::Histogram::BucketBoundaries duration_buckets_s{0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2,
+                                                                 0.5,   1.0,   2.0,  5.0,  10.0, 30.0};
 } // namespace
 
-void figure_page::add_value(const std::string& name, const std::string& help, prometheus::MetricType type,
-                            double value)
+void metrics_page::add_value(const std::string& name, const std::string& help, prometheus::MetricType type,
+                             double value)
 {
     prometheus::MetricFamily family;
     family.name = name;
@@ -28,22 +28,22 @@
     m_families.push_back(std::move(family));
 }
 
-void figure_page::add_count(const std::string& name, const std::string& help, double value)
+void metrics_page::add_count(const std::string& name, const std::string& help, double value)
 {
     add_value(name, help, prometheus::MetricType::Counter, value);
 }
 
-void figure_page::add_gauge(const std::string& name, const std::string& help, double value)
+void metrics_page::add_gauge(const std::string& name, const std::string& help, double value)
 {
     add_value(name, help, prometheus::MetricType::Gauge, value);
 }
 
-void figure_page::add(const std::vector<prometheus::MetricFamily>& families)
+void metrics_page::add(const std::vector<prometheus::MetricFamily>& families)
 {
     m_families.insert(m_families.end(), families.begin(), families.end());
 }
 
-std::string figure_page::text() const
+std::string metrics_page::text() const
 {
     return prometheus::TextSerializer().Serialize(m_families);
 }
@@ -55,7 +55,7 @@
 
 void time_histograms::observe(const std::vector<std::string>& values, duration took)
 {
-    const auto at = m_histograms.try_emplace(values, second_buckets).first;
+    const auto at = m_histograms.try_emplace(values, duration_buckets_s).first;
     at->second.Observe(std::chrono::duration<double>(took).count());
 }
 
--- a/src/observe/losses.cpp
+++ b/src/observe/losses.cpp
@@ -52,7 +52,7 @@
     return "unknown";
 }
 
-void loss_reader::read(std::istream& log)
+void loss_analyzer::read(std::istream& log)
 {
     std::string text;
     while (std::getline(log, text))
@@ -79,10 +79,10 @@
     }
 }
 
-void loss_reader::process_line(const log_line& line)
+void loss_analyzer::process_line(const log_line& line)
 {
     m_first = m_first < 0 ? line.at : std::min(m_first, line.at);
-    take_leader_line(line);
+    process_leader_line(line);
     const bool has_submission_id =
         line.id.size() == id_digits && line.id.find_first_not_of("0123456789abcdef") == std::string::npos;
     if (!has_submission_id)
@@ -108,7 +108,7 @@
     }
     else if (line.event == "advice_taken" && submission.advice_asked >= 0)
     {
-        submission.in_advice += line.at - submission.advice_asked;
+        submission.advice_wait_ms += line.at - submission.advice_asked;
         submission.advice_asked = -1;
     }
     else if (line.event == "starts_planned")
@@ -135,7 +135,7 @@
 }
 
 // There is no leader from the last line of a leader about its work until the next `leading` line.
-void loss_reader::take_leader_line(const log_line& line)
+void loss_analyzer::process_leader_line(const log_line& line)
 {
     const bool leads = line.event == "leading";
     if (leads && m_leader_line >= 0 && line.at > m_leader_line)
@@ -151,30 +151,30 @@
     }
 }
 
-void loss_reader::record_start(submission_record& submission, const log_line& line)
+void loss_analyzer::record_start(submission_record& submission, const log_line& line)
 {
     submission.started = true;
     if (line.slack_ms < 0 && submission.late_start < 0)
     {
         submission.late_start = line.at;
         submission.late_wait = {submission.ready, line.at};
-        submission.late_advice = submission.in_advice;
+        submission.late_advice_wait_ms = submission.advice_wait_ms;
     }
-    submission.in_advice = 0;
+    submission.advice_wait_ms = 0;
     submission.ready = line.at;
 }
 
-void loss_reader::record_end(submission_record& submission, const log_line& line)
+void loss_analyzer::record_end(submission_record& submission, const log_line& line)
 {
     const std::string& how = line.how;
     submission.ready = line.at;
-    submission.in_advice = 0;
+    submission.advice_wait_ms = 0;
     const bool before_late = submission.late_start < 0;
     submission.lost_host = submission.lost_host || (before_late && (how == "lapsed" || how == "never_began"));
     submission.failed_run = submission.failed_run || (before_late && (how == "failed" || how == "broken"));
 }
 
-std::int64_t loss_reader::leaderless_within(const time_span& span) const
+std::int64_t loss_analyzer::leaderless_within(const time_span& span) const
 {
     std::int64_t sum = 0;
     for (const time_span& gap : m_leaderless)
@@ -186,7 +186,7 @@
 
 // Losses and failures of runs take precedence over waits for advice or capacity; of the waits, the one that
 // accounts for at least half of the time is reported.
-loss_cause loss_reader::cause_of(const submission_record& submission) const
+loss_cause loss_analyzer::cause_of(const submission_record& submission) const
 {
     if (submission.accepted_at < 0)
     {
@@ -216,11 +216,11 @@
     {
         return loss_cause::failed_run;
     }
-    return submission.late_advice * 2 >= waited ? loss_cause::waiting_for_advice
-                                                : loss_cause::waiting_for_capacity;
+    return submission.late_advice_wait_ms * 2 >= waited ? loss_cause::waiting_for_advice
+                                                        : loss_cause::waiting_for_capacity;
 }
 
-loss_report loss_reader::analyze() const
+loss_report loss_analyzer::analyze() const
 {
     loss_report out;
     out.unreadable = m_unreadable;
--- a/src/observe/metrics.cpp
+++ b/src/observe/metrics.cpp
@@ -7,7 +7,7 @@
 
 namespace
 {
-const prometheus::Histogram::BucketBoundaries second_buckets{
+const prometheus::Histogram::BucketBoundaries duration_buckets_s{
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.1, 2.5, 5.0, 10.0, 60.0, 600.0};
 }
 
@@ -52,7 +52,7 @@
 void metrics::count_request(const std::string& organisation, const std::string& outcome, double took_seconds)
 {
     m_requests.Add({{"organisation", organisation}, {"outcome", outcome}}).Increment();
-    m_request_seconds.Add({{"organisation", organisation}}, second_buckets).Observe(took_seconds);
+    m_request_seconds.Add({{"organisation", organisation}}, duration_buckets_s).Observe(took_seconds);
 }
 
 void metrics::count_command(const std::string& organisation, const std::string& result)
@@ -62,7 +62,7 @@
 
 void metrics::observe_start_wait(const std::string& kind, double waited_seconds)
 {
-    m_start_seconds.Add({{"kind", kind}}, second_buckets).Observe(waited_seconds);
+    m_start_seconds.Add({{"kind", kind}}, duration_buckets_s).Observe(waited_seconds);
 }
 
 prometheus::Counter& metrics::counter(const std::string& name, const std::string& help)
--- a/src/observe/story.cpp
+++ b/src/observe/story.cpp
@@ -18,7 +18,7 @@
     return value.is_string() ? value.get<std::string>() : value.dump();
 }
 
-std::string field(const story_line& line, const std::string& name)
+std::string field(const history_entry& line, const std::string& name)
 {
     const auto found = std::find_if(line.fields.begin(), line.fields.end(),
                                     [&name](const auto& item)
@@ -28,10 +28,10 @@
     return found == line.fields.end() ? std::string{} : found->second;
 }
 
-std::size_t count_how(const submission_history& history, const std::string& how)
+std::size_t count_run_ends(const submission_history& history, const std::string& how)
 {
     return static_cast<std::size_t>(std::count_if(history.lines.begin(), history.lines.end(),
-                                                  [&how](const story_line& line)
+                                                  [&how](const history_entry& line)
                                                   {
                                                       return line.event == "run_ended" &&
                                                              field(line, "how") == how;
@@ -41,16 +41,16 @@
 std::size_t count_event(const submission_history& history, const std::string& event)
 {
     return static_cast<std::size_t>(std::count_if(history.lines.begin(), history.lines.end(),
-                                                  [&event](const story_line& line)
+                                                  [&event](const history_entry& line)
                                                   {
                                                       return line.event == event;
                                                   }));
 }
 
-const story_line* first_of(const submission_history& history, const std::string& event)
+const history_entry* first_of(const submission_history& history, const std::string& event)
 {
     const auto found = std::find_if(history.lines.begin(), history.lines.end(),
-                                    [&event](const story_line& line)
+                                    [&event](const history_entry& line)
                                     {
                                         return line.event == event;
                                     });
@@ -74,7 +74,7 @@
             ++into.unreadable;
             continue;
         }
-        story_line line;
+        history_entry line;
         line.at_ms = parsed["t"].get<std::int64_t>();
         line.source = text.substr(begin);
         for (const auto& [name, value] : parsed.items())
@@ -107,18 +107,18 @@
 void analyze(submission_history& history)
 {
     std::stable_sort(history.lines.begin(), history.lines.end(),
-                     [](const story_line& a, const story_line& b)
+                     [](const history_entry& a, const history_entry& b)
                      {
                          return a.at_ms < b.at_ms;
                      });
-    const story_line* taken = first_of(history, "submission_taken");
-    const story_line* planned = first_of(history, "starts_planned");
-    if (const story_line* refused = first_of(history, "request_not_served"))
+    const history_entry* taken = first_of(history, "submission_taken");
+    const history_entry* planned = first_of(history, "starts_planned");
+    if (const history_entry* refused = first_of(history, "request_not_served"))
     {
         history.conclusions.push_back("A caller was told " + field(*refused, "status") + " by " +
                                       refused->process + ": " + field(*refused, "detail"));
     }
-    if (const std::size_t lapsed = count_how(history, "lapsed"); lapsed > 0)
+    if (const std::size_t lapsed = count_run_ends(history, "lapsed"); lapsed > 0)
     {
         history.conclusions.push_back(
             std::to_string(lapsed) +
@@ -126,7 +126,7 @@
     }
     const auto restarted =
         std::count_if(history.lines.begin(), history.lines.end(),
-                      [](const story_line& line)
+                      [](const history_entry& line)
                       {
                           return line.event == "run_absent" && field(line, "restarted") == "true";
                       });
@@ -139,25 +139,25 @@
     {
         history.conclusions.push_back(std::to_string(lost) + " runs were lost with their worker.");
     }
-    if (const story_line* given_up = first_of(history, "task_given_up"))
+    if (const history_entry* given_up = first_of(history, "task_given_up"))
     {
         history.conclusions.push_back(given_up->id + " was given up: " + field(*given_up, "crashes") +
                                       " workers crashed under it, the last on " +
                                       field(*given_up, "last_host") + '.');
     }
-    if (const std::size_t failed = count_how(history, "failed"); failed > 0)
+    if (const std::size_t failed = count_run_ends(history, "failed"); failed > 0)
     {
         history.conclusions.push_back(std::to_string(failed) +
                                       " runs failed by themselves or by their worker.");
     }
-    if (const std::size_t absent = count_how(history, "never_began"); absent > 0)
+    if (const std::size_t absent = count_run_ends(history, "never_began"); absent > 0)
     {
         history.conclusions.push_back(std::to_string(absent) +
                                       " starts were not carried out and were made again.");
     }
     const auto preempted =
         std::count_if(history.lines.begin(), history.lines.end(),
-                      [](const story_line& line)
+                      [](const history_entry& line)
                       {
                           return line.event == "run_preempted" && field(line, "for") != line.id;
                       });
--- a/src/replay/policies.cpp
+++ b/src/replay/policies.cpp
@@ -58,7 +58,7 @@
     return all;
 }
 
-std::optional<double> wait_figure(const replay_report& report, const std::string& metric)
+std::optional<double> find_wait_metric(const replay_report& report, const std::string& metric)
 {
     const std::size_t slash = metric.find('/');
     const std::string what = metric.substr(0, slash);
@@ -67,7 +67,7 @@
     {
         return std::nullopt;
     }
-    const wait_figures& waits = found->second;
+    const wait_statistics& waits = found->second;
     if (what == "wait_p50_s")
     {
         return waits.p50_s;
@@ -121,7 +121,7 @@
         {"failed_runs", static_cast<double>(failed_runs)},
         {"hosts_per_placement", hosts_per_placement}};
     const auto found = metrics_by_name.find(metric);
-    return found != metrics_by_name.end() ? std::optional(found->second) : wait_figure(*this, metric);
+    return found != metrics_by_name.end() ? std::optional(found->second) : find_wait_metric(*this, metric);
 }
 
 std::vector<std::string> policy_names()
@@ -140,7 +140,7 @@
     return found == policies().end() ? std::nullopt : std::optional(found->second);
 }
 
-std::vector<std::string> missed_outcomes(const trace& recorded)
+std::vector<std::string> find_missed_expectations(const trace& recorded)
 {
     std::map<std::string, replay_report> reports;
     const auto report_of = [&](const std::string& policy) -> const replay_report*
--- a/src/replay/replay.cpp
+++ b/src/replay/replay.cpp
@@ -12,13 +12,13 @@
 
 namespace
 {
-constexpr wall_ms plan_interval = 20;      // the daemon's tick
-constexpr wall_ms start_delay = 50;        // from placement to the worker's report
-constexpr wall_ms stop_delay = 500;        // from a stop order to the worker's report
-constexpr wall_ms failure_delay = 2'000;   // run time of a task on a failing worker
-constexpr wall_ms lease_over = 33'000;     // the default lease plus its clock drift bound
-constexpr wall_ms probe_after = 60'000;    // the daemon's delay before the first probe
-constexpr wall_ms sample_interval = 1'000; // for packing and share metrics
+constexpr wall_ms plan_interval = 20;           // the daemon's tick
+constexpr wall_ms start_delay = 50;             // from placement to the worker's report
+constexpr wall_ms stop_delay = 500;             // from a stop order to the worker's report
+constexpr wall_ms failure_delay = 2'000;        // run time of a task on a failing worker
+constexpr wall_ms lease_expiry_delay = 33'000;  // the default lease plus its clock drift bound
+constexpr wall_ms initial_probe_delay = 60'000; // the daemon's delay before the first probe
+constexpr wall_ms sample_interval = 1'000;      // for packing and share metrics
 constexpr std::size_t placements_per_plan = 512;
 constexpr double ms_per_second = 1000.0;
 constexpr double ms_per_hour = 3.6e6;
@@ -47,7 +47,7 @@
     }
 };
 
-struct task_memory
+struct task_progress
 {
     wall_ms first_start = -1;
     wall_ms left = -1; ///< remaining run time after the last checkpoint
@@ -78,7 +78,7 @@
                     },
                     event.event);
             }
-            run_steps(now);
+            process_due_events(now);
             plan(now);
             sample(now);
             now = next_time(now, next);
@@ -98,8 +98,8 @@
         return m_state.apply(now, command);
     }
 
-    void add_step(wall_ms at, simulation_event::kind what, const run_id& run, const worker_epoch& from,
-                  run_event event)
+    void schedule_event(wall_ms at, simulation_event::kind what, const run_id& run, const worker_epoch& from,
+                        run_event event)
     {
         m_pending_events.push(simulation_event{at, ++m_order, what, run, from, event});
     }
@@ -131,7 +131,7 @@
         spec.submitted = now;
         m_actual_ms[spec.id] =
             job.actual_s > 0 ? job.actual_s * 1000 : std::numeric_limits<wall_ms>::max() / 4;
-        m_memory[spec.id].resize(job.tasks);
+        m_task_progress[spec.id].resize(job.tasks);
         m_by_name[job.name].push_back(spec.id);
         apply(now, admit_jobs{log_index{0}, {std::move(spec)}});
     }
@@ -142,18 +142,18 @@
         stop_all(now);
     }
 
-    void take(const trace_lose& lost, wall_ms now)
+    void take(const trace_worker_loss& lost, wall_ms now)
     {
         for (std::uint32_t id = lost.first; id <= lost.last; ++id)
         {
             const worker_id worker{id};
             m_lost_workers.insert(worker);
-            add_step(now + lease_over, simulation_event::kind::lost, {},
-                     {worker, m_state.workers().at(worker).epoch}, {});
+            schedule_event(now + lease_expiry_delay, simulation_event::kind::lost, {},
+                           {worker, m_state.workers().at(worker).epoch}, {});
         }
     }
 
-    void take(const trace_failing& failing, wall_ms)
+    void take(const trace_worker_failures& failing, wall_ms)
     {
         for (std::uint32_t id = failing.first; id <= failing.last; ++id)
         {
@@ -164,7 +164,7 @@
     // Simulated workers
     // ----------------------------------------------------------------------------------------
 
-    void run_steps(wall_ms now)
+    void process_due_events(wall_ms now)
     {
         while (!m_pending_events.empty() && m_pending_events.top().at <= now)
         {
@@ -197,7 +197,7 @@
         }
         if (s.what == simulation_event::kind::stopped)
         {
-            note_stop(s);
+            on_run_stopped(s);
         }
         m_failed_runs += s.event == run_event::failed ? 1 : 0;
         apply(s.at, report_runs{{{s.run, s.from, static_cast<std::uint8_t>(s.event), 0}}});
@@ -216,27 +216,28 @@
 
     void on_run_started(const simulation_event& s)
     {
-        task_memory& progress = m_memory[s.run.task.job][s.run.task.index];
+        task_progress& progress = m_task_progress[s.run.task.job][s.run.task.index];
         progress.first_start = progress.first_start < 0 ? s.at : progress.first_start;
         progress.left = progress.left < 0 ? m_actual_ms[s.run.task.job] : progress.left;
         if (m_failing.contains(s.from.worker))
         {
-            add_step(s.at + failure_delay, simulation_event::kind::ended, s.run, s.from, run_event::failed);
+            schedule_event(s.at + failure_delay, simulation_event::kind::ended, s.run, s.from,
+                           run_event::failed);
         }
         else
         {
-            add_step(s.at + progress.left, simulation_event::kind::ended, s.run, s.from,
-                     run_event::completed);
+            schedule_event(s.at + progress.left, simulation_event::kind::ended, s.run, s.from,
+                           run_event::completed);
         }
     }
 
     // A checkpoint preserves the completed work; a stop without one loses it.
-    void note_stop(const simulation_event& s)
+    void on_run_stopped(const simulation_event& s)
     {
         const hall_job& job = m_state.jobs().at(s.run.task.job);
         const task_record& task = job.tasks[s.run.task.index];
         const wall_ms done = std::max<wall_ms>(s.at - task.since, 0);
-        task_memory& progress = m_memory[s.run.task.job][s.run.task.index];
+        task_progress& progress = m_task_progress[s.run.task.job][s.run.task.index];
         if (s.event == run_event::checkpointed && progress.left > 0)
         {
             progress.left = std::max<wall_ms>(progress.left - done, 1);
@@ -264,12 +265,12 @@
         {
             for (const task_id& task : worker.tasks)
             {
-                stop_if_ordered(task, worker, now);
+                schedule_ordered_stop(task, worker, now);
             }
         }
     }
 
-    void stop_if_ordered(const task_id& id, const worker_record& worker, wall_ms now)
+    void schedule_ordered_stop(const task_id& id, const worker_record& worker, wall_ms now)
     {
         const hall_job& job = m_state.jobs().at(id.job);
         const task_record& task = job.tasks[id.index];
@@ -280,7 +281,8 @@
         }
         const bool can_checkpoint = job.spec.repeatable && !job.cancelled;
         const run_event event = can_checkpoint ? run_event::checkpointed : run_event::stopped;
-        add_step(now + stop_delay, simulation_event::kind::stopped, run, {worker.id, worker.epoch}, event);
+        schedule_event(now + stop_delay, simulation_event::kind::stopped, run, {worker.id, worker.epoch},
+                       event);
     }
 
     // Scheduling
@@ -290,7 +292,7 @@
     {
         const hall_changes changes = m_state.take_changes();
         m_scheduler.take(changes, m_state);
-        watch_quarantine(changes, now);
+        schedule_probes(changes, now);
         if (m_scheduler.waiting() == 0)
         {
             return;
@@ -304,27 +306,27 @@
         for (const stop_request& order : made.stops)
         {
             const task_record& task = m_state.jobs().at(order.run.task.job).tasks[order.run.task.index];
-            stop_if_ordered(order.run.task, m_state.workers().at(task.worker), now);
+            schedule_ordered_stop(order.run.task, m_state.workers().at(task.worker), now);
         }
         apply(now, place_tasks{made.placements});
         for (const placement& p : made.placements)
         {
-            add_step(now + start_delay, simulation_event::kind::started, p.run, {p.worker, p.epoch},
-                     run_event::started);
+            schedule_event(now + start_delay, simulation_event::kind::started, p.run, {p.worker, p.epoch},
+                           run_event::started);
         }
         m_invariant_violation = m_invariant_violation.empty() ? m_state.check() : m_invariant_violation;
     }
 
-    void watch_quarantine(const hall_changes& changes, wall_ms now)
+    void schedule_probes(const hall_changes& changes, wall_ms now)
     {
         for (const worker_id id : std::set<worker_id>(changes.workers.begin(), changes.workers.end()))
         {
             const worker_record& worker = m_state.workers().at(id);
-            if (worker.state() == worker_phase::quarantined && m_probed[id] != worker.quarantines)
+            if (worker.state() == worker_phase::quarantined && m_probed_quarantines[id] != worker.quarantines)
             {
-                m_probed[id] = worker.quarantines;
-                const wall_ms wait = probe_after << std::min(worker.quarantines - 1, 6U);
-                add_step(now + wait, simulation_event::kind::probe, {}, {id, worker.epoch}, {});
+                m_probed_quarantines[id] = worker.quarantines;
+                const wall_ms wait = initial_probe_delay << std::min(worker.quarantines - 1, 6U);
+                schedule_event(now + wait, simulation_event::kind::probe, {}, {id, worker.epoch}, {});
             }
         }
     }
@@ -403,7 +405,7 @@
         {
             const std::string group =
                 std::to_string(job.spec.organisation.value()) + '/' + to_string(job.spec.workload());
-            for (const task_memory& progress : m_memory[id])
+            for (const task_progress& progress : m_task_progress[id])
             {
                 if (progress.first_start < 0 && job.cancelled)
                 {
@@ -438,7 +440,7 @@
         return out;
     }
 
-    static void fill_waits(wait_figures& out, std::vector<double>& values)
+    static void fill_waits(wait_statistics& out, std::vector<double>& values)
     {
         std::sort(values.begin(), values.end());
         const auto at = [&values](double part)
@@ -462,11 +464,11 @@
     std::uint32_t m_workers = 0;
     std::uint64_t m_jobs = 0;
     std::map<job_id, wall_ms> m_actual_ms;
-    std::map<job_id, std::vector<task_memory>> m_memory;
+    std::map<job_id, std::vector<task_progress>> m_task_progress;
     std::set<run_id> m_stopping;
     std::set<worker_id> m_lost_workers;
     std::set<worker_id> m_failing;
-    std::map<worker_id, std::uint32_t> m_probed;
+    std::map<worker_id, std::uint32_t> m_probed_quarantines;
     std::uint64_t m_failed_runs = 0;
     double m_lost_core_hours = 0.0;
     wall_ms m_sampled_at = 0;
--- a/src/replay/trace.cpp
+++ b/src/replay/trace.cpp
@@ -95,11 +95,11 @@
     }
     if (line.contains("lose"))
     {
-        return read_range<trace_lose>(line.at("lose"));
+        return read_range<trace_worker_loss>(line.at("lose"));
     }
     if (line.contains("failing"))
     {
-        return read_range<trace_failing>(line.at("failing"));
+        return read_range<trace_worker_failures>(line.at("failing"));
     }
     return std::nullopt;
 }
--- a/src/routing/endpoints.cpp
+++ b/src/routing/endpoints.cpp
@@ -106,7 +106,7 @@
     return chosen;
 }
 
-void endpoint_directory::end(const service_key& service, const endpoint& used, endpoint_verdict verdict,
+void endpoint_directory::end(const service_key& service, const endpoint& used, endpoint_feedback verdict,
                              monotonic_time now)
 {
     const auto connections = m_connections.find(used.worker);
@@ -126,14 +126,14 @@
     }
     endpoint_state& known = state->second;
     known.outstanding -= known.outstanding > 0 ? 1 : 0;
-    known.broken_in_a_row = verdict == endpoint_verdict::broken ? known.broken_in_a_row + 1 : 0;
-    if (known.broken_in_a_row >= suspect_threshold)
+    known.consecutive_broken = verdict == endpoint_feedback::broken ? known.consecutive_broken + 1 : 0;
+    if (known.consecutive_broken >= suspect_threshold)
     {
-        known.suspect_until = now + avoid_time;
+        known.suspect_until = now + avoidance_period;
     }
-    if (verdict == endpoint_verdict::gone)
+    if (verdict == endpoint_feedback::gone)
     {
-        known.avoid_until = now + avoid_time;
+        known.avoid_until = now + avoidance_period;
     }
 }
 
--- a/src/routing/limits.cpp
+++ b/src/routing/limits.cpp
@@ -8,8 +8,8 @@
 
 namespace
 {
-constexpr double newest_part = 0.05;
-constexpr std::int64_t longest_retry_after = 30;
+constexpr double mean_smoothing_factor = 0.05;
+constexpr std::int64_t max_retry_after_s = 30;
 
 double to_seconds(duration d)
 {
@@ -83,7 +83,7 @@
 void admission::end(monotonic_time /*now*/, duration took)
 {
     --m_in_progress;
-    m_mean_seconds += newest_part * (to_seconds(took) - m_mean_seconds);
+    m_mean_seconds += mean_smoothing_factor * (to_seconds(took) - m_mean_seconds);
 }
 
 seconds admission::retry_after(monotonic_time now) const
@@ -91,7 +91,7 @@
     const double queue =
         m_mean_seconds * static_cast<double>(m_in_progress) / static_cast<double>(m_max_requests);
     const double wait = std::max(queue, to_seconds(m_rate.wait(now)));
-    return seconds(std::clamp<std::int64_t>(std::llround(std::ceil(wait)), 1, longest_retry_after));
+    return seconds(std::clamp<std::int64_t>(std::llround(std::ceil(wait)), 1, max_retry_after_s));
 }
 
 } // namespace walkthread
--- a/src/routing/request_key.cpp
+++ b/src/routing/request_key.cpp
@@ -25,7 +25,7 @@
 }
 } // namespace
 
-std::optional<wall_ms> time_of_key(std::string_view key)
+std::optional<wall_ms> timestamp_of_key(std::string_view key)
 {
     if (key.size() != uuid_length || key[version_position] != '7')
     {
--- a/tests/src/unit-claims.cpp
+++ b/tests/src/unit-claims.cpp
@@ -138,8 +138,8 @@
 
 BOOST_AUTO_TEST_CASE(key_contains_its_creation_time)
 {
-    BOOST_TEST(time_of_key("01931b60-0000-7000-8000-000000000000").value() == 0x01931b600000LL);
-    BOOST_TEST(!time_of_key("01931b60-0000-4000-8000-000000000000"));
-    BOOST_TEST(!time_of_key("01931b60-0000-7000-8000-00000000000g"));
-    BOOST_TEST(!time_of_key("short"));
+    BOOST_TEST(timestamp_of_key("01931b60-0000-7000-8000-000000000000").value() == 0x01931b600000LL);
+    BOOST_TEST(!timestamp_of_key("01931b60-0000-4000-8000-000000000000"));
+    BOOST_TEST(!timestamp_of_key("01931b60-0000-7000-8000-00000000000g"));
+    BOOST_TEST(!timestamp_of_key("short"));
 }
--- a/tests/src/unit-losses.cpp
+++ b/tests/src/unit-losses.cpp
@@ -28,7 +28,7 @@
     }
     [[nodiscard]] loss_report report() const
     {
-        loss_reader reader;
+        loss_analyzer reader;
         std::istringstream in(m_text);
         reader.read(in);
         return reader.analyze();
@@ -59,7 +59,7 @@
 }
 } // namespace
 
-BOOST_AUTO_TEST_CASE(what_is_on_time_is_no_loss)
+BOOST_AUTO_TEST_CASE(a_submission_on_time_is_not_reported)
 {
     log_text log = log_with_leader();
     add_accepted(log, 100, first);
@@ -68,7 +68,7 @@
     BOOST_TEST(log.report().losses.empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_wait_for_advice_or_room_is_told_apart)
+BOOST_AUTO_TEST_CASE(waits_for_advice_and_for_capacity_are_distinguished)
 {
     log_text log = log_with_leader();
     add_accepted(log, 100, first);
@@ -87,7 +87,7 @@
     BOOST_TEST(report.losses[0].second == 0);
 }
 
-BOOST_AUTO_TEST_CASE(seconds_without_a_leader_are_found)
+BOOST_AUTO_TEST_CASE(a_wait_without_a_leader_is_detected)
 {
     log_text log = log_with_leader();
     add_accepted(log, 900, first);
@@ -98,7 +98,7 @@
     BOOST_TEST((report.losses.front().cause == loss_cause::no_leader));
 }
 
-BOOST_AUTO_TEST_CASE(lost_hosts_and_failures_count_before_the_wait_behind_them)
+BOOST_AUTO_TEST_CASE(lost_hosts_and_failures_take_precedence_over_waits)
 {
     log_text log = log_with_leader();
     add_accepted(log, 100, first);
@@ -116,7 +116,7 @@
     BOOST_TEST(report.losses[1].second == 6);
 }
 
-BOOST_AUTO_TEST_CASE(what_was_refused_and_never_taken_is_unserved)
+BOOST_AUTO_TEST_CASE(a_refused_submission_never_accepted_is_unserved)
 {
     log_text log = log_with_leader();
     log.line(500, "edge-1", "request_not_served", first, "\"status\":503,\"order\":true");
@@ -132,7 +132,7 @@
 }
 
 // A truncated log that contains lines of other programs is still analyzed.
-BOOST_AUTO_TEST_CASE(cut_and_foreign_lines_are_counted_and_left_out)
+BOOST_AUTO_TEST_CASE(truncated_and_foreign_lines_are_counted_and_skipped)
 {
     log_text log = log_with_leader();
     log.raw("a line without anything").raw("  2.0 core-1 {\"t\":12,\"event\":").raw("{\"t\":\"x\"}").raw("");
@@ -144,7 +144,7 @@
 }
 
 // Runs that are lost with their worker have a `run_lost` line but no `run_ended` line.
-BOOST_AUTO_TEST_CASE(a_task_that_crashes_workers_is_told_from_what_stood_beside)
+BOOST_AUTO_TEST_CASE(a_poison_task_is_distinguished_from_tasks_beside_it)
 {
     log_text log = log_with_leader();
     add_accepted(log, 100, first);
--- a/tests/src/unit-replay.cpp
+++ b/tests/src/unit-replay.cpp
@@ -8,7 +8,7 @@
 using namespace walkthread;
 
 // Replays every trace in the repository and checks its expectations.
-BOOST_AUTO_TEST_CASE(every_trace_has_its_stated_outcomes)
+BOOST_AUTO_TEST_CASE(every_trace_meets_its_expectations)
 {
     int traces = 0;
     for (const auto& file : std::filesystem::directory_iterator(WALKTHREAD_TRACES))
@@ -23,7 +23,7 @@
         {
             BOOST_REQUIRE(ok(recorded));
             BOOST_TEST(!value_of(recorded).expected.empty());
-            for (const std::string& sentence : missed_outcomes(value_of(recorded)))
+            for (const std::string& sentence : find_missed_expectations(value_of(recorded)))
             {
                 BOOST_ERROR(sentence);
             }
@@ -32,7 +32,7 @@
     BOOST_TEST(traces == 10);
 }
 
-BOOST_AUTO_TEST_CASE(a_replay_gives_the_same_report_each_time)
+BOOST_AUTO_TEST_CASE(replay_is_deterministic)
 {
     const auto recorded = load_trace(std::string(WALKTHREAD_TRACES) + "/declared_times_off.jsonl");
     BOOST_REQUIRE(ok(recorded));
@@ -42,7 +42,7 @@
     BOOST_TEST(first.packing == second.packing);
 }
 
-BOOST_AUTO_TEST_CASE(a_bad_line_is_named)
+BOOST_AUTO_TEST_CASE(a_malformed_line_is_reported_with_its_number)
 {
     const auto bad = parse_trace("{\"trace\":\"x\",\"end_s\":1}\n{\"at_s\":0,\"job\":{\"name\":\"a\"}}\n");
     BOOST_REQUIRE(!ok(bad));
@@ -50,7 +50,7 @@
     BOOST_TEST(error_of(bad).number() == 902);
 }
 
-BOOST_AUTO_TEST_CASE(a_missed_outcome_is_told)
+BOOST_AUTO_TEST_CASE(a_missed_expectation_is_reported)
 {
     const auto recorded =
         parse_trace("{\"trace\":\"x\",\"end_s\":10}\n"
@@ -58,5 +58,5 @@
                     "{\"at_s\":0,\"job\":{\"name\":\"a\",\"organisation\":1,\"kind\":\"batch\"}}\n"
                     "{\"expect\":{\"metric\":\"jobs_completed\",\"least\":2}}\n");
     BOOST_REQUIRE(ok(recorded));
-    BOOST_TEST(missed_outcomes(value_of(recorded)).size() == 1U);
+    BOOST_TEST(find_missed_expectations(value_of(recorded)).size() == 1U);
 }
--- a/tests/src/unit-routing.cpp
+++ b/tests/src/unit-routing.cpp
@@ -31,7 +31,7 @@
 }
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_hall_not_confirmed_for_long_counts_as_leaving)
+BOOST_AUTO_TEST_CASE(endpoints_of_an_unconfirmed_hall_are_not_used)
 {
     endpoint_directory directory = make_directory(4);
     BOOST_TEST(directory.begin(service, 0, {}, start + seconds(4)).has_value());
@@ -40,7 +40,7 @@
     BOOST_TEST(directory.begin(service, 0, {}, start + seconds(6)).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(an_endpoint_that_is_told_no_more_gets_nothing)
+BOOST_AUTO_TEST_CASE(a_removed_endpoint_gets_no_requests)
 {
     endpoint_directory directory = make_directory(2);
     directory.set(hall_id{1}, reported_endpoints(1));
@@ -51,7 +51,7 @@
 }
 
 // Halls that share a service use the same task numbers, so run ids are not unique across halls.
-BOOST_AUTO_TEST_CASE(the_tasks_of_one_hall_neither_hide_nor_take_away_those_of_another)
+BOOST_AUTO_TEST_CASE(halls_with_equal_run_ids_keep_separate_endpoints)
 {
     endpoint_directory directory = make_directory(2);
     service_endpoints other = reported_endpoints(2);
@@ -67,7 +67,7 @@
     BOOST_TEST(directory.begin(service, 0, {}, start).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_workers_connections_are_bounded)
+BOOST_AUTO_TEST_CASE(connections_to_a_worker_are_limited)
 {
     endpoint_directory directory = make_directory(8, 1);
     for (int i = 0; i < 4; ++i)
@@ -77,18 +77,18 @@
     BOOST_TEST(!directory.begin(service, 0, {}, start).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_gone_endpoint_is_avoided_and_a_suspect_is_the_last_choice)
+BOOST_AUTO_TEST_CASE(an_unavailable_endpoint_is_avoided_and_a_suspect_is_used_last)
 {
     endpoint_directory directory = make_directory(2);
     const endpoint first = *directory.begin(service, 0, {}, start);
-    directory.end(service, first, endpoint_verdict::gone, start);
+    directory.end(service, first, endpoint_feedback::gone, start);
     BOOST_TEST((directory.begin(service, 0, {}, start)->run != first.run));
     endpoint_directory lone = make_directory(1);
     for (int i = 0; i < 5; ++i)
     {
         const auto used = lone.begin(service, 0, {}, start);
         BOOST_REQUIRE(used.has_value());
-        lone.end(service, *used, endpoint_verdict::broken, start);
+        lone.end(service, *used, endpoint_feedback::broken, start);
     }
 }
 
@@ -101,17 +101,17 @@
     BOOST_TEST(!directory.begin(service, 0, {first.key(), second.key()}, start).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_not_repeatable_request_goes_on_only_if_it_surely_did_not_run)
+BOOST_AUTO_TEST_CASE(a_not_repeatable_request_is_retried_only_if_it_did_not_run)
 {
-    BOOST_TEST((step_after(exchange_end::not_sent, false) == next_step::try_another));
-    BOOST_TEST((step_after(exchange_end::refused, false) == next_step::try_another));
-    BOOST_TEST((step_after(exchange_end::broken, false) == next_step::give_up));
-    BOOST_TEST((step_after(exchange_end::broken, true) == next_step::try_another));
+    BOOST_TEST((step_after(exchange_outcome::not_sent, false) == next_step::try_another));
+    BOOST_TEST((step_after(exchange_outcome::refused, false) == next_step::try_another));
+    BOOST_TEST((step_after(exchange_outcome::broken, false) == next_step::give_up));
+    BOOST_TEST((step_after(exchange_outcome::broken, true) == next_step::try_another));
     BOOST_TEST((outcome_without_answer(false) == request_outcome::not_run));
     BOOST_TEST((outcome_without_answer(true) == request_outcome::unknown));
 }
 
-BOOST_AUTO_TEST_CASE(retries_are_a_part_of_requests)
+BOOST_AUTO_TEST_CASE(retries_stay_within_the_budget)
 {
     retry_budget budget;
     int retries = 0;
@@ -182,7 +182,7 @@
                     auto& waiting = sent[from][e % endpoints];
                     if (!waiting.empty())
                     {
-                        views[from].end(service, waiting.back(), endpoint_verdict::healthy, start);
+                        views[from].end(service, waiting.back(), endpoint_feedback::healthy, start);
                         waiting.pop_back();
                         --queue[e % endpoints];
                         break;
@@ -214,7 +214,7 @@
     BOOST_TEST(two < rotation);
 }
 
-BOOST_AUTO_TEST_CASE(maglev_moves_few_requests_when_an_endpoint_goes)
+BOOST_AUTO_TEST_CASE(maglev_remaps_few_requests_when_an_endpoint_is_removed)
 {
     std::vector<endpoint_state> states(20);
     std::vector<const endpoint_state*> all;
--- a/tests/src/unit-story.cpp
+++ b/tests/src/unit-story.cpp
@@ -44,7 +44,7 @@
 };
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_submissions_lines_come_in_order_with_the_cause)
+BOOST_AUTO_TEST_CASE(lines_of_a_submission_are_sorted_and_explained)
 {
     submission_history found;
     std::istringstream log(recorded_log);
@@ -59,7 +59,7 @@
                "2 runs ended because their worker's lease ran out; they were started again.");
 }
 
-BOOST_AUTO_TEST_CASE(a_refusal_is_named_with_who_said_it)
+BOOST_AUTO_TEST_CASE(a_refusal_is_reported_with_its_process)
 {
     submission_history found;
     std::istringstream log(
@@ -69,7 +69,7 @@
     BOOST_TEST(found.conclusions.front() == "A caller was told 503 by edge-a-1: No leader answered in time.");
 }
 
-BOOST_AUTO_TEST_CASE(a_restart_of_the_worker_is_named)
+BOOST_AUTO_TEST_CASE(a_worker_restart_is_reported)
 {
     submission_history found;
     std::istringstream log(
@@ -82,7 +82,7 @@
 
 // Under overload each call returns at once, the volume is limited, and dropped lines are counted and
 // reported.
-BOOST_AUTO_TEST_CASE(a_flooded_log_drops_and_counts)
+BOOST_AUTO_TEST_CASE(an_overloaded_log_drops_and_counts_lines)
 {
     const auto sink = std::make_shared<slow_sink>();
     decision_log_settings bounds;
@@ -114,7 +114,7 @@
     BOOST_TEST(drop_reports >= 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_request_flood_does_not_crowd_out_lines_of_the_process)
+BOOST_AUTO_TEST_CASE(process_lines_are_written_despite_a_request_flood)
 {
     const auto sink = std::make_shared<slow_sink>();
     decision_log_settings bounds;
