--- a/tests/src/unit-decoding.cpp
+++ b/tests/src/unit-decoding.cpp
@@ -108,20 +108,20 @@
 }
 } // namespace
 
-BOOST_AUTO_TEST_CASE(the_documents_that_are_mutated_can_be_read_themselves)
+BOOST_AUTO_TEST_CASE(unmutated_documents_are_decoded)
 {
     BOOST_TEST(ok(decode_report("i-1", good_report.dump())));
     BOOST_TEST(ok(decode_submission(good_submission.dump())));
-    BOOST_TEST(ok(decode_catalogue(good_configuration.dump())));
-    BOOST_TEST(ok(decode_look(good_poll_answer.dump())));
+    BOOST_TEST(ok(decode_cluster_configuration(good_configuration.dump())));
+    BOOST_TEST(ok(decode_poll_answer(good_poll_answer.dump())));
     BOOST_TEST(value_of(decode_report("i-1", good_report.dump())).description.process_start.value() ==
                1790095670000);
-    BOOST_TEST(value_of(decode_look(good_poll_answer.dump())).process_start.value() == 1790095670000);
+    BOOST_TEST(value_of(decode_poll_answer(good_poll_answer.dump())).process_start.value() == 1790095670000);
     BOOST_TEST(ok(decode_advice(good_advice.dump())));
     BOOST_TEST(ok(decode_wave(good_wave.dump())));
 }
 
-BOOST_AUTO_TEST_CASE(mutated_documents_are_read_soundly_or_refused)
+BOOST_AUTO_TEST_CASE(mutated_documents_are_decoded_soundly_or_rejected)
 {
     std::size_t read = 0;
     const std::uint64_t first = test::first_seed();
@@ -136,7 +136,7 @@
                 ++read;
                 check_report(value_of(report));
             }
-            const auto poll = decode_look(mutate(good_poll_answer, random));
+            const auto poll = decode_poll_answer(mutate(good_poll_answer, random));
             for (const reported_end& end : ok(poll) ? value_of(poll).ended : std::vector<reported_end>{})
             {
                 BOOST_REQUIRE_LE(static_cast<int>(end.how), static_cast<int>(run_end::lonely));
@@ -146,7 +146,8 @@
             {
                 static_cast<void>(find_fault(value_of(submission)));
             }
-            const auto decoded_configuration = decode_catalogue(mutate(good_configuration, random));
+            const auto decoded_configuration =
+                decode_cluster_configuration(mutate(good_configuration, random));
             if (ok(decoded_configuration))
             {
                 BOOST_REQUIRE_GT(value_of(decoded_configuration).version, 0U);
@@ -160,7 +161,7 @@
     BOOST_TEST(read > 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_report_in_another_writers_words_names_no_worker)
+BOOST_AUTO_TEST_CASE(reports_with_invalid_fields_are_rejected)
 {
     const auto refused = [](const char* key, const json& value)
     {
@@ -186,7 +187,7 @@
         BOOST_TEST(refused("born", odd));
         json poll = good_poll_answer;
         poll["born"] = odd;
-        BOOST_TEST(!ok(decode_look(poll.dump())));
+        BOOST_TEST(!ok(decode_poll_answer(poll.dump())));
     }
     BOOST_TEST(refused("zone", std::string(100'000, 'x')));
     for (const char* key : {"service", "address", "zone", "state", "room"})
@@ -213,7 +214,7 @@
 
 BOOST_AUTO_TEST_CASE(organisations_are_read_with_keys_weight_and_limits)
 {
-    const auto read = decode_catalogue(with_organisation(
+    const auto read = decode_cluster_configuration(with_organisation(
         R"("api-keys":["k1","k2"],"priority":1,"weight":55,"max-count":{"cpu":4425,"mem-mb":159,"gpu":2})"));
     BOOST_TEST_REQUIRE(read.index() == 0);
     const cluster_configuration& decoded_configuration = std::get<0>(read);
@@ -225,31 +226,33 @@
     BOOST_TEST((organisation.limit == resources{4425, 159, 2, 0}));
 }
 
-BOOST_AUTO_TEST_CASE(a_configuration_that_names_no_organisations_is_not_guarded)
+BOOST_AUTO_TEST_CASE(a_configuration_without_organisations_requires_no_keys)
 {
-    const auto read = decode_catalogue(R"({"version":7,"routes":[],"services":[]})");
+    const auto read = decode_cluster_configuration(R"({"version":7,"routes":[],"services":[]})");
     BOOST_TEST_REQUIRE(read.index() == 0);
     BOOST_TEST(!std::get<0>(read).keys_required);
 }
 
-BOOST_AUTO_TEST_CASE(organisations_that_cannot_be_read_are_faults)
+BOOST_AUTO_TEST_CASE(invalid_organisations_are_rejected)
 {
     for (const char* fields :
          {R"("weight":"55")", R"("weight":true)", R"("api-keys":"k1")", R"("api-keys":[1])",
           R"("max-count":{"cpu":1.5})", R"("max-count":{"gpu":-1})", R"("max-count":[7])"})
     {
-        BOOST_TEST(decode_catalogue(with_organisation(fields)).index() == 1, fields);
+        BOOST_TEST(decode_cluster_configuration(with_organisation(fields)).index() == 1, fields);
     }
-    BOOST_TEST(decode_catalogue(R"({"version":7,"routes":[],"services":[],"tenants":[{}]})").index() == 1);
+    BOOST_TEST(
+        decode_cluster_configuration(R"({"version":7,"routes":[],"services":[],"tenants":[{}]})").index() ==
+        1);
 }
 
 // Parse errors of a truncated document must not leak part of an API key.
-BOOST_AUTO_TEST_CASE(an_error_quotes_no_part_of_a_document)
+BOOST_AUTO_TEST_CASE(errors_do_not_quote_the_document)
 {
     const std::string whole = with_organisation(R"("api-keys":["verysecret"])");
     for (std::size_t length = 0; length < whole.size(); ++length)
     {
-        const auto read = decode_catalogue(whole.substr(0, length));
+        const auto read = decode_cluster_configuration(whole.substr(0, length));
         BOOST_TEST_REQUIRE(read.index() == 1);
         BOOST_TEST(std::get<1>(read).detail.find("very") == std::string::npos);
     }
--- a/tests/src/unit-platform.cpp
+++ b/tests/src/unit-platform.cpp
@@ -40,7 +40,7 @@
 )";
 } // namespace
 
-BOOST_AUTO_TEST_CASE(settings_are_read_into_own_words)
+BOOST_AUTO_TEST_CASE(platform_settings_are_mapped_to_internal_fields)
 {
     const settings_outcome out = read_settings(write_file(good_settings));
     BOOST_TEST(out.faults.empty());
@@ -52,7 +52,7 @@
     BOOST_TEST(out.settings.caller_address.empty());
 }
 
-BOOST_AUTO_TEST_CASE(every_fault_of_the_settings_is_named_at_once)
+BOOST_AUTO_TEST_CASE(all_settings_faults_are_reported_together)
 {
     const settings_outcome out = read_settings(write_file("serves = [\"edge\"]\n"));
     BOOST_TEST(out.faults.size() == 7U); // node-name, zone, ip, internal-ports, seeds and two addresses
@@ -60,7 +60,7 @@
     BOOST_TEST(read_settings("/nowhere/at/all.toml").faults.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_submission_is_read_with_its_misleading_names)
+BOOST_AUTO_TEST_CASE(submission_fields_are_mapped_from_platform_names)
 {
     auto out = decode_submission(R"({"spec":"t","max-runs":3,"first-run-ms":1000,"interval-ms":50,"steps":[
         {"count":4,"cpu":500,"mem-mb":256,"estimate-ms":900,"affinity":"r1-3"},
@@ -83,7 +83,7 @@
     BOOST_TEST(step.after.front() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(bodies_that_cannot_be_read_are_errors)
+BOOST_AUTO_TEST_CASE(invalid_bodies_are_errors)
 {
     for (const char* body :
          {"", "{", "[]", "7", "{\"steps\":7}", "{\"steps\":[7]}", "{\"steps\":[{\"count\":-1}]}",
@@ -97,24 +97,24 @@
           "{\"version\":\"7\",\"routes\":[],\"services\":[]}", "{\"version\":7,\"routes\":[]}",
           "{\"version\":7,\"routes\":[{}],\"services\":[]}"})
     {
-        BOOST_TEST(decode_catalogue(body).index() == 1U, body);
+        BOOST_TEST(decode_cluster_configuration(body).index() == 1U, body);
     }
     BOOST_TEST(decode_report("i-1", "{}").index() == 1U);
-    BOOST_TEST(decode_look("{\"running\":[]}").index() == 1U);
+    BOOST_TEST(decode_poll_answer("{\"running\":[]}").index() == 1U);
     BOOST_TEST(decode_advice("{}").index() == 1U);
     BOOST_TEST(decode_wave("{\"wave\":1}").index() == 1U);
 }
 
 // Every proper prefix of a valid body must be an error; the whole body must decode.
-BOOST_AUTO_TEST_CASE(cut_bodies_are_errors)
+BOOST_AUTO_TEST_CASE(truncated_bodies_are_errors)
 {
     const std::string poll =
         R"({"clock-ms":482113,"running":[["5c0e7a21d94b36f8.0.1.17",2,"00",41,7]],"finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""]]})";
     for (std::size_t length = 0; length < poll.size(); ++length)
     {
-        BOOST_TEST(decode_look(poll.substr(0, length)).index() == 1U);
+        BOOST_TEST(decode_poll_answer(poll.substr(0, length)).index() == 1U);
     }
-    auto whole = decode_look(poll);
+    auto whole = decode_poll_answer(poll);
     BOOST_REQUIRE(whole.index() == 0U);
     BOOST_TEST(std::get<0>(whole).running.front().percent == 41);
     BOOST_TEST(std::get<0>(whole).running.front().figure == 7);
@@ -122,7 +122,7 @@
     BOOST_TEST(std::get<0>(whole).ended.front().number == 58U);
 }
 
-BOOST_AUTO_TEST_CASE(order_answers_are_told_apart)
+BOOST_AUTO_TEST_CASE(order_answers_map_to_outcomes)
 {
     BOOST_TEST((decode_order_answer(200, "{\"clock-ms\":5}").outcome == order_outcome::accepted));
     BOOST_TEST(decode_order_answer(200, "{\"clock-ms\":5}").clock_ms.value() == 5);
--- a/tests/src/unit-settings.cpp
+++ b/tests/src/unit-settings.cpp
@@ -64,7 +64,7 @@
     BOOST_TEST(value_of(parsed).timing.worker_lease.count() == 30'000);
 }
 
-BOOST_AUTO_TEST_CASE(every_error_is_told_at_once)
+BOOST_AUTO_TEST_CASE(all_errors_are_reported_together)
 {
     std::string text = replaced("id = 1\nhall", "id = 0\nhall");
     text.replace(text.find("10.0.0.1:8100"), 13, "localhost:810");
@@ -88,7 +88,7 @@
     BOOST_TEST(mentions(errors_of(good() + "[tls]\ncertificate = \"c\"\n"), "tls.key"));
 }
 
-BOOST_AUTO_TEST_CASE(what_is_no_toml_is_told_with_its_place)
+BOOST_AUTO_TEST_CASE(malformed_toml_is_reported_with_its_line)
 {
     const auto parsed = parse_settings("[node\nid = 1");
     BOOST_REQUIRE(!ok(parsed));
@@ -96,7 +96,7 @@
     BOOST_TEST(error_of(parsed).front().detail.find("line 1") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(a_missing_file_is_told)
+BOOST_AUTO_TEST_CASE(a_missing_file_is_reported)
 {
     const auto loaded = load_settings("/nonexistent");
     BOOST_TEST((error_of(loaded).front().code == settings_code::unreadable));
