--- a/include/walkthread/dispatch/dispatcher.hpp
+++ b/include/walkthread/dispatch/dispatcher.hpp
@@ -15,17 +15,17 @@
 #include <tuple>
 #include <vector>
 
-#include <walkthread/dispatch/advice_book.hpp>
+#include <walkthread/dispatch/advice_cache.hpp>
 #include <walkthread/dispatch/candidate.hpp>
+#include <walkthread/dispatch/capacity_forecast.hpp>
+#include <walkthread/dispatch/drop_blocker.hpp>
+#include <walkthread/dispatch/freed_capacity_log.hpp>
 #include <walkthread/dispatch/host_table.hpp>
-#include <walkthread/dispatch/keep_reason.hpp>
 #include <walkthread/dispatch/lost_runs.hpp>
 #include <walkthread/dispatch/objective.hpp>
 #include <walkthread/dispatch/orders.hpp>
-#include <walkthread/dispatch/room_forecast.hpp>
-#include <walkthread/dispatch/room_news.hpp>
-#include <walkthread/dispatch/suspect_watch.hpp>
-#include <walkthread/dispatch/unconfirmed_work.hpp>
+#include <walkthread/dispatch/suspect_isolation.hpp>
+#include <walkthread/dispatch/unconfirmed_submissions.hpp>
 #include <walkthread/dispatch/worker_view.hpp>
 #include <walkthread/observe/decision_log.hpp>
 #include <walkthread/workload/workload_state.hpp>
--- a/include/walkthread/dispatch/host_table.hpp
+++ b/include/walkthread/dispatch/host_table.hpp
@@ -14,7 +14,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include <walkthread/dispatch/host_reason.hpp>
+#include <walkthread/dispatch/host_availability.hpp>
 #include <walkthread/dispatch/worker_view.hpp>
 #include <walkthread/workload/workload_state.hpp>
 
--- a/include/walkthread/dispatch/lost_runs.hpp
+++ b/include/walkthread/dispatch/lost_runs.hpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include <walkthread/dispatch/worker_view.hpp>
-#include <walkthread/workload/crash_ledger.hpp>
+#include <walkthread/workload/crash_evidence.hpp>
 
 namespace walkthread
 {
--- a/include/walkthread/dispatch/suspect_watch.hpp
+++ b/include/walkthread/dispatch/suspect_isolation.hpp
@@ -12,7 +12,7 @@
 #include <map>
 
 #include <walkthread/units/time.hpp>
-#include <walkthread/workload/crash_ledger.hpp>
+#include <walkthread/workload/crash_evidence.hpp>
 #include <walkthread/workload/workload_state.hpp>
 
 namespace walkthread
--- a/include/walkthread/fabric/call_router.hpp
+++ b/include/walkthread/fabric/call_router.hpp
@@ -16,7 +16,7 @@
 
 #include <walkthread/fabric/leader_outage.hpp>
 #include <walkthread/fabric/mesh.hpp>
-#include <walkthread/observe/figure_page.hpp>
+#include <walkthread/observe/metrics_page.hpp>
 #include <walkthread/units/time.hpp>
 
 namespace walkthread
--- a/include/walkthread/fabric/core_node.hpp
+++ b/include/walkthread/fabric/core_node.hpp
@@ -9,10 +9,10 @@
 #include <string>
 
 #include <walkthread/dispatch/dispatcher.hpp>
-#include <walkthread/fabric/advice_desk.hpp>
+#include <walkthread/fabric/advisor_query_queue.hpp>
 #include <walkthread/fabric/fabric_node.hpp>
 #include <walkthread/fabric/replica_host.hpp>
-#include <walkthread/replication/newcomers.hpp>
+#include <walkthread/replication/join_policy.hpp>
 #include <walkthread/workload/caller_access.hpp>
 
 namespace walkthread
--- a/include/walkthread/fabric/fabric_node.hpp
+++ b/include/walkthread/fabric/fabric_node.hpp
@@ -17,7 +17,7 @@
 #include <walkthread/fabric/call_router.hpp>
 #include <walkthread/fabric/leader_watch.hpp>
 #include <walkthread/observe/decision_log.hpp>
-#include <walkthread/observe/figure_page.hpp>
+#include <walkthread/observe/metrics_page.hpp>
 
 namespace walkthread
 {
--- a/include/walkthread/fabric/pooled_client.hpp
+++ b/include/walkthread/fabric/pooled_client.hpp
@@ -15,7 +15,7 @@
 #include <walkthread/fabric/connection_pool.hpp>
 #include <walkthread/fabric/web_client.hpp>
 #include <walkthread/observe/decision_log.hpp>
-#include <walkthread/observe/figure_page.hpp>
+#include <walkthread/observe/metrics_page.hpp>
 
 namespace walkthread
 {
--- a/include/walkthread/node/hall_service.hpp
+++ b/include/walkthread/node/hall_service.hpp
@@ -17,7 +17,7 @@
 #include <walkthread/node/root_service.hpp>
 #include <walkthread/policy/lease_table.hpp>
 #include <walkthread/policy/scheduler.hpp>
-#include <walkthread/policy/usage_guard.hpp>
+#include <walkthread/policy/usage_monitor.hpp>
 
 namespace walkthread
 {
--- a/include/walkthread/node/http_answers.hpp
+++ b/include/walkthread/node/http_responses.hpp
@@ -7,7 +7,7 @@
 #include <string>
 
 #include <walkthread/node/errors.hpp>
-#include <walkthread/node/http_host.hpp>
+#include <walkthread/node/http_server.hpp>
 
 namespace walkthread
 {
--- a/include/walkthread/node/operator_api.hpp
+++ b/include/walkthread/node/operator_api.hpp
@@ -11,7 +11,7 @@
 
 #include <walkthread/node/access.hpp>
 #include <walkthread/node/core.hpp>
-#include <walkthread/node/http_host.hpp>
+#include <walkthread/node/http_server.hpp>
 #include <walkthread/node/root_service.hpp>
 
 namespace walkthread
--- a/include/walkthread/node/process.hpp
+++ b/include/walkthread/node/process.hpp
@@ -13,7 +13,7 @@
 #include <walkthread/node/core.hpp>
 #include <walkthread/node/endpoint_feed.hpp>
 #include <walkthread/node/hall_service.hpp>
-#include <walkthread/node/http_host.hpp>
+#include <walkthread/node/http_server.hpp>
 #include <walkthread/node/operator_api.hpp>
 #include <walkthread/node/platform_watch.hpp>
 #include <walkthread/node/request_router.hpp>
--- a/include/walkthread/node/request_router.hpp
+++ b/include/walkthread/node/request_router.hpp
@@ -14,7 +14,7 @@
 #include <walkthread/node/core.hpp>
 #include <walkthread/node/endpoint_feed.hpp>
 #include <walkthread/node/exchange.hpp>
-#include <walkthread/node/http_host.hpp>
+#include <walkthread/node/http_server.hpp>
 #include <walkthread/routing/errors.hpp>
 #include <walkthread/routing/limits.hpp>
 
--- a/include/walkthread/node/worker_api.hpp
+++ b/include/walkthread/node/worker_api.hpp
@@ -6,7 +6,7 @@
 
 #include <walkthread/node/access.hpp>
 #include <walkthread/node/core.hpp>
-#include <walkthread/node/http_host.hpp>
+#include <walkthread/node/http_server.hpp>
 
 namespace walkthread
 {
--- a/include/walkthread/workload/commands.hpp
+++ b/include/walkthread/workload/commands.hpp
@@ -10,9 +10,9 @@
 #include <vector>
 
 #include <walkthread/units/result.hpp>
-#include <walkthread/workload/catalogue.hpp>
-#include <walkthread/workload/crash_ledger.hpp>
-#include <walkthread/workload/life.hpp>
+#include <walkthread/workload/cluster_configuration.hpp>
+#include <walkthread/workload/crash_evidence.hpp>
+#include <walkthread/workload/incarnation.hpp>
 #include <walkthread/workload/submission.hpp>
 
 namespace walkthread
--- a/include/walkthread/workload/crash_ledger.hpp
+++ b/include/walkthread/workload/crash_evidence.hpp
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-#include <walkthread/workload/life.hpp>
+#include <walkthread/workload/incarnation.hpp>
 #include <walkthread/workload/submission.hpp>
 
 namespace walkthread
--- a/src/ctl/story_command.cpp
+++ b/src/ctl/story_command.cpp
@@ -5,7 +5,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include <walkthread/observe/story.hpp>
+#include <walkthread/observe/submission_history.hpp>
 #include <walkthread/workload/names.hpp>
 
 namespace walkthread::ctl
--- a/src/dispatch/advice_book.cpp
+++ b/src/dispatch/advice_cache.cpp
@@ -1,4 +1,4 @@
-#include <walkthread/dispatch/advice_book.hpp>
+#include <walkthread/dispatch/advice_cache.hpp>
 
 #include <algorithm>
 
--- a/src/dispatch/room_forecast.cpp
+++ b/src/dispatch/capacity_forecast.cpp
@@ -1,4 +1,4 @@
-#include <walkthread/dispatch/room_forecast.hpp>
+#include <walkthread/dispatch/capacity_forecast.hpp>
 
 #include <algorithm>
 
--- a/src/dispatch/dispatcher_reserve.cpp
+++ b/src/dispatch/dispatcher_reserve.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include <walkthread/dispatch/room_forecast.hpp>
+#include <walkthread/dispatch/capacity_forecast.hpp>
 #include <walkthread/workload/names.hpp>
 
 namespace walkthread
--- a/src/dispatch/keep_reason.cpp
+++ b/src/dispatch/drop_blocker.cpp
@@ -1,4 +1,4 @@
-#include <walkthread/dispatch/keep_reason.hpp>
+#include <walkthread/dispatch/drop_blocker.hpp>
 
 #include <array>
 
--- a/src/dispatch/host_reason.cpp
+++ b/src/dispatch/host_availability.cpp
@@ -1,4 +1,4 @@
-#include <walkthread/dispatch/host_reason.hpp>
+#include <walkthread/dispatch/host_availability.hpp>
 
 namespace walkthread
 {
--- a/src/dispatch/suspect_watch.cpp
+++ b/src/dispatch/suspect_isolation.cpp
@@ -1,4 +1,4 @@
-#include <walkthread/dispatch/suspect_watch.hpp>
+#include <walkthread/dispatch/suspect_isolation.hpp>
 
 #include <algorithm>
 
--- a/src/dispatch/unconfirmed_work.cpp
+++ b/src/dispatch/unconfirmed_submissions.cpp
@@ -1,4 +1,4 @@
-#include <walkthread/dispatch/unconfirmed_work.hpp>
+#include <walkthread/dispatch/unconfirmed_submissions.hpp>
 
 #include <algorithm>
 
--- a/src/fabric/advice_desk.cpp
+++ b/src/fabric/advisor_query_queue.cpp
@@ -1,4 +1,4 @@
-#include <walkthread/fabric/advice_desk.hpp>
+#include <walkthread/fabric/advisor_query_queue.hpp>
 
 #include <algorithm>
 #include <utility>
--- a/src/node/http_answers.cpp
+++ b/src/node/http_responses.cpp
@@ -1,4 +1,4 @@
-#include <walkthread/node/http_answers.hpp>
+#include <walkthread/node/http_responses.hpp>
 
 #include <walkthread/node/documents.hpp>
 
--- a/src/node/http_host.cpp
+++ b/src/node/http_server.cpp
@@ -1,4 +1,4 @@
-#include <walkthread/node/http_host.hpp>
+#include <walkthread/node/http_server.hpp>
 
 #include <condition_variable>
 #include <deque>
@@ -8,7 +8,7 @@
 #include <httplib.h>
 
 #include <walkthread/node/documents.hpp>
-#include <walkthread/node/http_answers.hpp>
+#include <walkthread/node/http_responses.hpp>
 
 namespace walkthread
 {
--- a/src/node/operator_api.cpp
+++ b/src/node/operator_api.cpp
@@ -6,7 +6,7 @@
 
 #include <walkthread/node/clock.hpp>
 #include <walkthread/node/documents.hpp>
-#include <walkthread/node/http_answers.hpp>
+#include <walkthread/node/http_responses.hpp>
 #include <walkthread/wire/codec.hpp>
 
 namespace walkthread
--- a/src/node/process.cpp
+++ b/src/node/process.cpp
@@ -4,7 +4,7 @@
 #include <thread>
 
 #include <walkthread/node/clock.hpp>
-#include <walkthread/node/http_answers.hpp>
+#include <walkthread/node/http_responses.hpp>
 
 namespace walkthread
 {
--- a/src/node/request_router.cpp
+++ b/src/node/request_router.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include <walkthread/node/clock.hpp>
-#include <walkthread/node/http_answers.hpp>
+#include <walkthread/node/http_responses.hpp>
 #include <walkthread/routing/request_key.hpp>
 #include <walkthread/wire/codec.hpp>
 
--- a/src/node/worker_api.cpp
+++ b/src/node/worker_api.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include <walkthread/node/documents.hpp>
-#include <walkthread/node/http_answers.hpp>
+#include <walkthread/node/http_responses.hpp>
 
 namespace walkthread
 {
--- a/src/observe/figure_page.cpp
+++ b/src/observe/metrics_page.cpp
@@ -1,4 +1,4 @@
-#include <walkthread/observe/figure_page.hpp>
+#include <walkthread/observe/metrics_page.hpp>
 
 #include <chrono>
 #include <utility>
--- a/src/observe/story.cpp
+++ b/src/observe/submission_history.cpp
@@ -1,4 +1,4 @@
-#include <walkthread/observe/story.hpp>
+#include <walkthread/observe/submission_history.hpp>
 
 #include <algorithm>
 #include <istream>
--- a/src/policy/usage_guard.cpp
+++ b/src/policy/usage_monitor.cpp
@@ -1,4 +1,4 @@
-#include <walkthread/policy/usage_guard.hpp>
+#include <walkthread/policy/usage_monitor.hpp>
 
 namespace walkthread
 {
--- a/src/replication/newcomers.cpp
+++ b/src/replication/join_policy.cpp
@@ -1,4 +1,4 @@
-#include <walkthread/replication/newcomers.hpp>
+#include <walkthread/replication/join_policy.hpp>
 
 namespace walkthread
 {
--- a/src/workload/catalogue.cpp
+++ b/src/workload/cluster_configuration.cpp
@@ -1,4 +1,4 @@
-#include <walkthread/workload/catalogue.hpp>
+#include <walkthread/workload/cluster_configuration.hpp>
 
 #include <algorithm>
 #include <set>
--- a/src/workload/crash_ledger.cpp
+++ b/src/workload/crash_evidence.cpp
@@ -1,4 +1,4 @@
-#include <walkthread/workload/crash_ledger.hpp>
+#include <walkthread/workload/crash_evidence.hpp>
 
 #include <algorithm>
 #include <utility>
--- a/tests/src/troubled_pool.hpp
+++ b/tests/src/faulty_leader_pool.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <utility>
 
-#include "narrow_pool.hpp"
+#include "limited_connection_pool.hpp"
 
 namespace walkthread::test
 {
--- a/tests/src/narrow_pool.hpp
+++ b/tests/src/limited_connection_pool.hpp
@@ -8,7 +8,7 @@
 
 #include <walkthread/fabric/connection_pool.hpp>
 
-#include "pool_stand_in.hpp"
+#include "simulated_pool.hpp"
 
 namespace walkthread::test
 {
--- a/tests/src/advisor_stand_in.hpp
+++ b/tests/src/simulated_advisor.hpp
@@ -5,7 +5,7 @@
 #include <deque>
 #include <functional>
 
-#include "worker_stand_in.hpp"
+#include "simulated_workers.hpp"
 
 namespace walkthread::test
 {
--- a/tests/src/pool_stand_in.hpp
+++ b/tests/src/simulated_pool.hpp
@@ -12,8 +12,8 @@
 
 #include <walkthread/dispatch/dispatcher.hpp>
 
-#include "advisor_stand_in.hpp"
 #include "pool_log.hpp"
+#include "simulated_advisor.hpp"
 
 namespace walkthread::test
 {
--- a/tests/src/worker_stand_in.hpp
+++ b/tests/src/simulated_workers.hpp
@@ -5,7 +5,7 @@
 
 #include <walkthread/workload/names.hpp>
 
-#include "worker_records.hpp"
+#include "simulation_records.hpp"
 
 namespace walkthread::test
 {
--- a/tests/src/small_pool.hpp
+++ b/tests/src/small_pool.hpp
@@ -6,7 +6,7 @@
 
 #include <cstdlib>
 
-#include "pool_stand_in.hpp"
+#include "simulated_pool.hpp"
 
 namespace walkthread::test
 {
--- a/tests/src/standstill_check.hpp
+++ b/tests/src/stall_check.hpp
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "pool_stand_in.hpp"
+#include "simulated_pool.hpp"
 
 namespace walkthread::test
 {
--- a/tests/src/unit-crash-days.cpp
+++ b/tests/src/unit-crash-days.cpp
@@ -4,8 +4,8 @@
 #include <array>
 #include <random>
 
-#include "crash_day.hpp"
-#include "standstill_check.hpp"
+#include "crash_scenario.hpp"
+#include "stall_check.hpp"
 
 using namespace walkthread;
 using namespace walkthread::test;
--- a/tests/src/unit-crash-ledger.cpp
+++ b/tests/src/unit-crash-evidence.cpp
@@ -1,7 +1,7 @@
 #define BOOST_TEST_MODULE crash_evidence_table
 #include <boost/test/unit_test.hpp>
 
-#include <walkthread/dispatch/suspect_watch.hpp>
+#include <walkthread/dispatch/suspect_isolation.hpp>
 #include <walkthread/wire/codec.hpp>
 #include <walkthread/workload/workload_state.hpp>
 
--- a/tests/src/unit-crash-loops.cpp
+++ b/tests/src/unit-crash-loops.cpp
@@ -1,8 +1,8 @@
 #define BOOST_TEST_MODULE crash_loops
 #include <boost/test/unit_test.hpp>
 
-#include "crash_day.hpp"
-#include "standstill_check.hpp"
+#include "crash_scenario.hpp"
+#include "stall_check.hpp"
 
 using namespace walkthread;
 using namespace walkthread::test;
--- a/tests/src/unit-dispatch.cpp
+++ b/tests/src/unit-dispatch.cpp
@@ -2,7 +2,7 @@
 #include <boost/test/unit_test.hpp>
 
 #include "small_pool.hpp"
-#include "standstill_check.hpp"
+#include "stall_check.hpp"
 
 using namespace walkthread;
 using namespace walkthread::test;
--- a/tests/src/unit-fabric.cpp
+++ b/tests/src/unit-fabric.cpp
@@ -3,7 +3,7 @@
 
 #include <boost/asio/ip/tcp.hpp>
 
-#include <walkthread/fabric/advice_desk.hpp>
+#include <walkthread/fabric/advisor_query_queue.hpp>
 #include <walkthread/fabric/core_node.hpp>
 #include <walkthread/fabric/leader_outage.hpp>
 #include <walkthread/fabric/leader_watch.hpp>
--- a/tests/src/unit-fleet-connections.cpp
+++ b/tests/src/unit-fleet-connections.cpp
@@ -1,9 +1,9 @@
 #define BOOST_TEST_MODULE fleet_connections
 #include <boost/test/unit_test.hpp>
 
-#include "narrow_pool.hpp"
+#include "limited_connection_pool.hpp"
 #include "small_pool.hpp"
-#include "standstill_check.hpp"
+#include "stall_check.hpp"
 
 using namespace walkthread;
 using namespace walkthread::test;
--- a/tests/src/unit-gang-reservations.cpp
+++ b/tests/src/unit-gang-reservations.cpp
@@ -3,8 +3,8 @@
 
 #include <limits>
 
+#include <walkthread/dispatch/capacity_forecast.hpp>
 #include <walkthread/dispatch/gang_reservations.hpp>
-#include <walkthread/dispatch/room_forecast.hpp>
 
 using namespace walkthread;
 
--- a/tests/src/unit-gangs.cpp
+++ b/tests/src/unit-gangs.cpp
@@ -1,7 +1,7 @@
 #define BOOST_TEST_MODULE gangs
 #include <boost/test/unit_test.hpp>
 
-#include "pool_stand_in.hpp"
+#include "simulated_pool.hpp"
 
 using namespace walkthread;
 using namespace walkthread::test;
--- a/tests/src/unit-newcomers.cpp
+++ b/tests/src/unit-join-policy.cpp
@@ -3,7 +3,7 @@
 
 #include <map>
 
-#include <walkthread/replication/newcomers.hpp>
+#include <walkthread/replication/join_policy.hpp>
 
 using namespace walkthread;
 
--- a/tests/src/unit-never-back.cpp
+++ b/tests/src/unit-never-back.cpp
@@ -4,9 +4,9 @@
 #include <array>
 #include <random>
 
+#include "faulty_leader_pool.hpp"
 #include "small_pool.hpp"
-#include "standstill_check.hpp"
-#include "troubled_pool.hpp"
+#include "stall_check.hpp"
 
 using namespace walkthread;
 using namespace walkthread::test;
--- a/tests/src/unit-reservations.cpp
+++ b/tests/src/unit-reservations.cpp
@@ -1,9 +1,9 @@
 #define BOOST_TEST_MODULE reservations
 #include <boost/test/unit_test.hpp>
 
-#include <walkthread/dispatch/room_forecast.hpp>
+#include <walkthread/dispatch/capacity_forecast.hpp>
 
-#include "pool_stand_in.hpp"
+#include "simulated_pool.hpp"
 
 using namespace walkthread;
 using namespace walkthread::test;
--- a/tests/src/unit-rooms.cpp
+++ b/tests/src/unit-rooms.cpp
@@ -3,8 +3,8 @@
 
 #include <random>
 
+#include <walkthread/dispatch/freed_capacity_log.hpp>
 #include <walkthread/dispatch/host_table.hpp>
-#include <walkthread/dispatch/room_news.hpp>
 
 #include "small_pool.hpp"
 
--- a/tests/src/unit-story.cpp
+++ b/tests/src/unit-story.cpp
@@ -8,7 +8,7 @@
 #include <spdlog/sinks/base_sink.h>
 
 #include <walkthread/observe/decision_log.hpp>
-#include <walkthread/observe/story.hpp>
+#include <walkthread/observe/submission_history.hpp>
 
 using namespace walkthread;
 
