--- a/include/walkthread/settings/settings.hpp
+++ b/include/walkthread/settings/settings.hpp
@@ -73,7 +73,7 @@
     std::int64_t requests_per_second = 5000; ///< at one gateway
 };
 
-/// @brief Intervals and time-outs that the guarantees depend on.
+/// @brief Intervals and timeouts that the guarantees depend on.
 /// @since 0.1
 struct timing_settings
 {
@@ -86,7 +86,7 @@
     milliseconds endpoint_staleness{5'000}; ///< an endpoint unconfirmed for longer counts as leaving
     milliseconds service_drain{3'000};      ///< from the last new request to a service's task until its stop
     milliseconds balancer{2'000}; ///< after SIGTERM: until the load balancer sends no new connections
-    milliseconds request{5'000};  ///< time-out of a caller's request
+    milliseconds request{5'000};  ///< timeout of a caller's request
     seconds key_window{600};      ///< how long an Idempotency-Key is remembered
     milliseconds tick{20};
 };
--- a/src/ctl/story_command.hpp
+++ b/src/ctl/story_command.hpp
@@ -8,7 +8,7 @@
 namespace walkthread::ctl
 {
 
-/// @brief Prints the events of a submission and the conclusions drawn from them.
+/// @brief Prints the history of a submission and the conclusions drawn from it.
 /// @param arguments the submission id, then log files of any processes; `-` for standard input
 /// @param as_table whether to print text instead of JSON
 /// @return the exit code: 0, 1 for invalid arguments or an unreadable file, 2 if no line mentions the
