--- a/include/walkthread/dispatch/host_table.hpp
+++ b/include/walkthread/dispatch/host_table.hpp
@@ -66,7 +66,7 @@
     [[nodiscard]] std::size_t usable_in(pool_number pool);
 
     /// @brief Total capacity of all hosts of a pool, usable or not.
-    [[nodiscard]] resources host_demand_of(pool_number pool) const;
+    [[nodiscard]] resources capacity_of(pool_number pool) const;
 
     /// @brief Marks a host's row as outdated.
     void invalidate(worker_incarnation_id worker);
--- a/include/walkthread/fabric/call_router.hpp
+++ b/include/walkthread/fabric/call_router.hpp
@@ -31,7 +31,7 @@
 {
   public:
     /// @param peers the mesh that calls are sent over
-    /// @param local handles a call if this process leads; returns whether it did
+    /// @param local_handler handles a call if this process leads; returns whether it did
     call_router(boost::asio::io_context& loop, mesh& peers,
                 std::function<bool(const service_call&, const call_handler&)> local_handler);
     ~call_router();
--- a/include/walkthread/replication/replica.hpp
+++ b/include/walkthread/replication/replica.hpp
@@ -55,8 +55,8 @@
     duration max_election_timeout = milliseconds(1000); ///< upper bound when a quorum replies slowly
     duration election_stagger = milliseconds(30); ///< delay between the campaigns of two replicas: one round
                                                   ///< of vote requests and replies inside a region
-    duration vote_timeout = milliseconds(1000); ///< election timeout after a vote; covers two fsyncs on a
-                                                ///< disk that is 30 times slower than usual
+    duration vote_timeout = milliseconds(1000);   ///< election timeout after a vote; covers two fsyncs on a
+                                                  ///< disk that is 30 times slower than usual
     double clock_drift = 0.05;              ///< largest relative difference between the rates of two clocks
     std::size_t append_bytes = 256U << 10U; ///< approximate size limit of an append_request
     std::size_t max_uncommitted = 100'000;  ///< limit on entries that wait for a quorum
--- a/src/dispatch/dispatcher_gangs.cpp
+++ b/src/dispatch/dispatcher_gangs.cpp
@@ -202,7 +202,7 @@
         }
     }
     return may_start_gathering(others, host_demand_of(*item.step) * item.step->count,
-                               m_hosts.host_demand_of(item.pool), m_settings.gathering);
+                               m_hosts.capacity_of(item.pool), m_settings.gathering);
 }
 
 void dispatcher::set_hold(const step_ref& ref, capacity_hold next)
--- a/src/dispatch/host_table.cpp
+++ b/src/dispatch/host_table.cpp
@@ -70,7 +70,7 @@
     return found == m_pools.end() ? pool_number{} : found->second;
 }
 
-resources host_table::host_demand_of(pool_number pool) const
+resources host_table::capacity_of(pool_number pool) const
 {
     const auto found = m_capacities.find(pool);
     return found == m_capacities.end() ? resources{} : found->second;
