--- a/include/walkthread/fabric/call_router.hpp
+++ b/include/walkthread/fabric/call_router.hpp
@@ -94,7 +94,8 @@
     bool m_armed = false;
     std::string m_leader;
     leader_outage m_outage;
-    time_histograms m_outages{"walkthread_leaderless_seconds", "Duration of leader outages.", {}};
+    time_histograms m_outages{
+        "walkthread_leaderless_seconds", "How long no leader was known, by outage.", {}};
     std::minstd_rand m_random{std::random_device{}()};
     std::uint64_t m_next = 1;
     std::map<std::uint64_t, waiting_call> m_calls;
--- a/include/walkthread/fabric/core_node.hpp
+++ b/include/walkthread/fabric/core_node.hpp
@@ -132,12 +132,11 @@
     std::unique_ptr<dispatcher> m_dispatcher;
     advisor_query_queue m_advisor_queries;
     time_histograms m_commit_times{
-        "walkthread_commit_seconds", "Time from a proposal at the leader to its commit.", {}};
-    time_histograms m_start_waits{"walkthread_start_wait_seconds",
-                                  "Time from a step becoming ready to the planning of its tasks, by queue.",
-                                  {"queue"}};
+        "walkthread_commit_seconds", "From a proposal at the leader to its commit.", {}};
+    time_histograms m_start_waits{
+        "walkthread_start_wait_seconds", "From a step's turn to the plan of its tasks, by queue.", {"queue"}};
     time_histograms m_advisor_query_times{
-        "walkthread_advice_seconds", "Duration of advisor queries, including queueing.", {"answered"}};
+        "walkthread_advice_seconds", "Questions to the placement advisor, waiting included.", {"answered"}};
     std::uint64_t m_led_term = 0;
     monotonic_time m_last_join_request{};
     monotonic_time m_last_pass{};
--- a/src/fabric/core_node.cpp
+++ b/src/fabric/core_node.cpp
@@ -421,16 +421,16 @@
     gauge("walkthread_term", "The replica's term.", core.term().value());
     gauge("walkthread_leads", "1 if this process leads.", m_dispatcher ? 1 : 0);
     gauge("walkthread_commit_index", "The last entry known to be committed.", core.commit_index().value());
-    gauge("walkthread_voters", "Voters in the membership.", core.members().voters.size());
-    gauge("walkthread_learners", "Learners in the membership.", core.members().learners.size());
-    gauge("walkthread_votes", "1 if this replica is a voter.", core.members().is_voter(core.self()) ? 1 : 0);
+    gauge("walkthread_voters", "Replicas that vote.", core.members().voters.size());
+    gauge("walkthread_learners", "Replicas that stand by.", core.members().learners.size());
+    gauge("walkthread_votes", "1 if this replica votes.", core.members().is_voter(core.self()) ? 1 : 0);
     gauge("walkthread_submissions_kept", "Submissions in the replicated state.",
           m_state.submissions().size());
     gauge("walkthread_steps_ready", "Steps with tasks that wait for a host.", m_state.ready().size());
-    gauge("walkthread_suspects", "Tasks that may crash the hosts that they run on.",
+    gauge("walkthread_suspects", "Tasks that may take down the hosts that they run on.",
           m_state.crashes().suspects().size());
-    gauge("walkthread_workers", "Worker incarnations in the replicated state.", m_state.workers().size());
-    page.add_count("walkthread_log_syncs_total", "fsync calls on the log.",
+    gauge("walkthread_workers", "Workers' lives in the replicated state.", m_state.workers().size());
+    page.add_count("walkthread_log_syncs_total", "Syncs of the log.",
                    static_cast<double>(m_replica->syncs()));
     page.add(m_commit_times.collect());
     fill_leading(page);
@@ -439,10 +439,10 @@
 // Metrics that are counted from the start of the current leadership.
 void core_node::fill_leading(metrics_page& page) const
 {
-    page.add_gauge("walkthread_advice_waiting", "Advisor queries that wait for a client.",
+    page.add_gauge("walkthread_advice_waiting", "Questions that wait for a process to ask them.",
                    static_cast<double>(m_advisor_queries.waiting()));
     page.add_gauge("walkthread_unheard_runs",
-                   "Runs on workers that have been unresponsive for longer than a lease.",
+                   "Runs that count as running on workers not heard for longer than a lease.",
                    m_dispatcher ? static_cast<double>(m_dispatcher->runs_on_unresponsive_workers()) : 0.0);
     page.add(m_start_waits.collect());
     page.add(m_advisor_query_times.collect());
@@ -452,21 +452,22 @@
         page.add_count(name, help, static_cast<double>(value));
     };
     count("walkthread_task_starts_total", "Orders to start a task.", c.starts);
-    count("walkthread_task_ends_total", "Task ends reported by workers.", c.ends);
-    count("walkthread_task_starts_refused_total", "Start orders that a worker rejected.", c.refused_starts);
+    count("walkthread_task_ends_total", "Ends that workers listed.", c.ends);
+    count("walkthread_task_starts_refused_total", "Orders that a worker refused.", c.refused_starts);
     count("walkthread_orders_unanswered_total", "Orders without an answer.", c.unanswered_orders);
-    count("walkthread_orders_not_sent_total", "Orders not sent for lack of a connection.", c.unsent_orders);
-    count("walkthread_workers_lost_total", "Worker incarnations dropped as lost.", c.lost_workers);
-    count("walkthread_workers_restarted_total", "Workers that restarted under their former id.",
+    count("walkthread_orders_not_sent_total", "Orders that never left, for want of a connection.",
+          c.unsent_orders);
+    count("walkthread_workers_lost_total", "Workers' lives that were dropped.", c.lost_workers);
+    count("walkthread_workers_restarted_total", "Workers that started again under the id that they had.",
           c.restarted_workers);
-    count("walkthread_tasks_given_up_total", "Poison tasks: failed because they crash their workers.",
+    count("walkthread_tasks_given_up_total", "Tasks given up as they crash the workers that start them.",
           c.tasks_given_up);
-    count("walkthread_advice_questions_total", "Queries to the placement advisor.", c.questions);
+    count("walkthread_advice_questions_total", "Questions to the placement advisor.", c.questions);
     count("walkthread_preemptions_total", "Runs stopped for other work.", c.preemptions);
-    count("walkthread_task_starts_withdrawn_total",
-          "Start orders not sent or not repeated because their worker leaves.", c.starts_withdrawn);
+    count("walkthread_task_starts_withdrawn_total", "Orders not sent, or not again, as their worker leaves.",
+          c.starts_withdrawn);
     count("walkthread_task_starts_before_report_total",
-          "Start orders to workers that had not yet reported to this leader.", c.starts_before_report);
+          "Orders to workers that had not reported to this leader yet.", c.starts_before_report);
 }
 
 } // namespace walkthread
--- a/src/fabric/fabric_node.cpp
+++ b/src/fabric/fabric_node.cpp
@@ -78,21 +78,20 @@
 
 void fabric_node::fill(metrics_page& page) const
 {
-    page.add_gauge("walkthread_calls_waiting", "Calls to the leader without a reply yet.",
+    page.add_gauge("walkthread_calls_waiting", "Calls to the leader without an answer yet.",
                    static_cast<double>(m_router.waiting()));
     page.add_count("walkthread_peer_sent_bytes_total", "Bytes sent to other processes.",
                    static_cast<double>(m_mesh.bytes_sent()));
-    page.add_count("walkthread_peer_messages_dropped_total",
-                   "Messages dropped because a link's queue was full or the link was lost.",
+    page.add_count("walkthread_peer_messages_dropped_total", "Messages dropped as a link's queue was full.",
                    static_cast<double>(m_mesh.messages_dropped()));
-    page.add_count("walkthread_peer_links_displaced_total", "Links closed because of the limit on links.",
+    page.add_count("walkthread_peer_links_displaced_total",
+                   "Connections to or from processes closed as there were too many.",
                    static_cast<double>(m_mesh.links_displaced()));
-    page.add_count("walkthread_log_lines_dropped_total", "Log lines dropped by the rate limit.",
+    page.add_count("walkthread_log_lines_dropped_total", "Log lines dropped for their rate.",
                    static_cast<double>(m_log.dropped()));
-    page.add_count("walkthread_leader_changes_total",
-                   "Changes of the leader or its term seen by this process.",
+    page.add_count("walkthread_leader_changes_total", "Leaders and terms that this process came to follow.",
                    static_cast<double>(m_leader_changes));
-    page.add_gauge("walkthread_leader_known", "1 if a responsive leader is known.", connected() ? 1 : 0);
+    page.add_gauge("walkthread_leader_known", "1 if a leader is known and answers.", connected() ? 1 : 0);
     page.add(m_router.outages().collect());
 }
 
--- a/src/fabric/pooled_client.cpp
+++ b/src/fabric/pooled_client.cpp
@@ -164,10 +164,10 @@
                    static_cast<double>(m_pool.waiting()));
     page.add_count(prefix + "connections_opened_total", "Connections opened.", static_cast<double>(m_opened));
     page.add_count(prefix + "connections_replaced_total",
-                   "Idle connections closed in favour of another address.", static_cast<double>(m_replaced));
-    page.add_count(prefix + "not_sent_total", "Calls not sent for lack of a connection.",
+                   "Idle connections closed as another address needed one.", static_cast<double>(m_replaced));
+    page.add_count(prefix + "not_sent_total", "Calls that got no connection.",
                    static_cast<double>(m_not_sent));
-    page.add_count(prefix + "unreachable_total", "Calls whose address accepted no connection.",
+    page.add_count(prefix + "unreachable_total", "Calls whose address took no connection.",
                    static_cast<double>(m_unreachable));
 }
 
--- a/src/observe/metrics.cpp
+++ b/src/observe/metrics.cpp
@@ -18,12 +18,12 @@
       peer_bytes_received(counter("walkthread_peer_received_bytes_total",
                                   "Bytes received from other processes of the cell.")),
       placements(counter("walkthread_placements_total", "Tasks placed by halls led here.")),
-      preemptions(counter("walkthread_preemptions_total", "Tasks preempted by halls led here.")),
-      workers_lost(counter("walkthread_workers_lost_total", "Workers whose lease expired.")),
+      preemptions(counter("walkthread_preemptions_total", "Tasks stopped for other work by halls led here.")),
+      workers_lost(counter("walkthread_workers_lost_total", "Workers whose lease ran out.")),
       renewals(counter("walkthread_renewals_total", "Lease renewals answered by halls led here.")),
       log_syncs(counter("walkthread_log_syncs_total", "Syncs of the write-ahead log.")),
       groups_led(gauge("walkthread_groups_led", "Groups that this process leads.")),
-      tasks_waiting(gauge("walkthread_tasks_waiting", "Jobs with waiting tasks in halls led here.")),
+      tasks_waiting(gauge("walkthread_tasks_waiting", "Jobs with tasks that wait in halls led here.")),
       requests_in_progress(gauge("walkthread_requests_in_progress", "Callers' requests in progress here.")),
       m_requests(prometheus::BuildCounter()
                      .Name("walkthread_requests_total")
@@ -31,7 +31,7 @@
                      .Register(*m_registry)),
       m_request_seconds(prometheus::BuildHistogram()
                             .Name("walkthread_request_seconds")
-                            .Help("Time from a caller's request to its response.")
+                            .Help("Time from a caller's request to its answer.")
                             .Register(*m_registry)),
       m_commands(prometheus::BuildCounter()
                      .Name("walkthread_commands_total")
