--- a/tests/process/test_soak.py
+++ b/tests/process/test_soak.py
@@ -1,6 +1,6 @@
 """Short runs of tests/soak with fixed seeds: each seed that once failed, with its cause, and some basic runs.
 
-To try fifty seeds or more by hand, fifty or more: python3 tests/soak/soak.py BUILD --seed N --seconds 30 --cores 5
+To try fifty seeds or more by hand: python3 tests/soak/soak.py BUILD --seed N --seconds 30 --cores 5
 """
 
 import os
