--- a/bench/bench_dispatch.cpp
+++ b/bench/bench_dispatch.cpp
@@ -2,7 +2,7 @@
 
 #include <benchmark/benchmark.h>
 
-#include "../tests/src/pool_stand_in.hpp"
+#include "../tests/src/simulated_pool.hpp"
 
 namespace
 {
