--- a/bench/bench_leader.cpp
+++ b/bench/bench_leader.cpp
@@ -266,7 +266,7 @@
     {
         advice_answer answer;
         answer.answered = true;
-        for (const std::string& incarnation : question.lives)
+        for (const std::string& incarnation : question.incarnations)
         {
             if (std::hash<std::string>{}(name_of(question.step) + incarnation) % 2 == 0)
             {
