--- a/src/policy/job_queue.cpp
+++ b/src/policy/job_queue.cpp
@@ -18,7 +18,7 @@
     case wait_reason::quota:
         return "The team's quota in this hall is used up.";
     case wait_reason::held:
-        return "The job failed on several hosts and is on hold; change or withdraw its configuration.";
+        return "It failed on several hosts and is held; change or withdraw the configuration.";
     case wait_reason::gang_reserved:
         return "Hosts are reserved until the whole gang can start.";
     case wait_reason::preempting:
