--- a/src/node/hall_events.cpp
+++ b/src/node/hall_events.cpp
@@ -69,8 +69,7 @@
     {
         for (const worker_id worker : drained->workers)
         {
-            add_event(event_kind::worker_draining, nullptr, worker,
-                      drained->draining ? "Draining." : "Not draining.");
+            add_event(event_kind::worker_draining, nullptr, worker, drained->draining ? "Leaving." : "Back.");
         }
     }
     else if (const auto* admitted = std::get_if<admit_jobs>(&command))
